--- a/internal/run/ctrl/ctrl.go
+++ b/internal/run/ctrl/ctrl.go
@@ -263,7 +263,7 @@
 // turn runs on the loop after each turn of the replica.
 func (c *Control) turn(now time.Time) {
 	c.planner.Turn(now)
-	c.engine.Turn(boot.Now())
+	c.engine.Tick(boot.Now())
 	c.wakeLater()
 	c.tendMembership(now)
 	c.publish()
--- a/internal/run/ctrl/report.go
+++ b/internal/run/ctrl/report.go
@@ -55,7 +55,7 @@
 		return false
 	}
 	known := false
-	err := c.node.Do(ctx, func() { known = c.engine.Knows(r) })
+	err := c.node.Do(ctx, func() { known = c.engine.IsRedundant(r) })
 	return err == nil && known
 }
 
@@ -65,12 +65,12 @@
 		return nil, err
 	}
 	done := make(chan error, 1)
-	if !s.node.Post(func() { s.engine.Reported(boot.Now(), r, func(err error) { done <- err }) }) {
+	if !s.node.Post(func() { s.engine.HandleReport(boot.Now(), r, func(err error) { done <- err }) }) {
 		return nil, turned(node.ErrStopped)
 	}
 	select {
 	case err := <-done:
-		if errors.Is(err, drive.ErrNotDriving) {
+		if errors.Is(err, drive.ErrNotLeader) {
 			err = node.ErrNotLeader
 		}
 		if err != nil {
--- a/internal/run/ctrl/work.go
+++ b/internal/run/ctrl/work.go
@@ -53,17 +53,17 @@
 var _ wire.WorkServiceServer = (*workService)(nil)
 
 func (c *Control) startEngine() error {
-	off, err := drive.ParseMechanisms(c.settings.SwitchedOff)
+	off, err := drive.ParseFeatures(c.settings.SwitchedOff)
 	if err != nil {
 		return err
 	}
 	c.engine = drive.New(drive.Options{
 		Graph: c.machine.Graph(), Propose: c.node.Propose,
-		Leads: c.drives, MayOrder: c.node.RightToLead, Send: c.carry, Wall: time.Now,
+		IsLeader: c.drives, HoldsLeaderLease: c.node.RightToLead, Send: c.carry, WallClock: time.Now,
 		Lease:           min(c.settings.AgentLease.AsDuration(), c.settings.MaxAgentLease.AsDuration()),
 		StopGrace:       c.settings.StopGrace.AsDuration(),
-		OtherRackFactor: c.settings.OtherRackFactor, Connections: files.Share(c.settings.MaxOpenFiles).Agents,
-		Advise: c.advise, Off: off, Logger: c.logger,
+		OtherRackFactor: c.settings.OtherRackFactor, MaxConnections: files.Share(c.settings.MaxOpenFiles).Agents,
+		Advise: c.advise, Disabled: off, Logger: c.logger,
 	})
 	c.machine.Graph().Finished = c.jobFinished
 	c.background.Go(c.forgetLoop)
@@ -83,7 +83,7 @@
 // wakeLater orders the next turn for when the engine wants it: the replica's own
 // ticks are too far apart to place work by.
 func (c *Control) wakeLater() {
-	wake := c.engine.Wake()
+	wake := c.engine.NextTick()
 	if c.waking || wake >= c.settings.HeartbeatInterval.AsDuration()/2 {
 		return
 	}
@@ -112,12 +112,12 @@
 // of the next one.
 func (c *Control) carry(o drive.Order) {
 	go func() {
-		answer := drive.Answer{Order: o, Verdict: drive.Unsent, Detail: "no right to lead"}
+		answer := drive.Answer{Order: o, Verdict: drive.NotSent, Detail: "no right to lead"}
 		if c.node.RightToLead(o.Fence) {
 			answer = c.platform.Carry(context.Background(), o)
 			answer.Order = o
 		}
-		c.node.Post(func() { c.engine.Answered(boot.Now(), answer) })
+		c.node.Post(func() { c.engine.HandleAnswer(boot.Now(), answer) })
 	}()
 }
 
@@ -129,7 +129,7 @@
 			answer = c.platform.Advise(context.Background(), c.settings.AdviceAddress, r)
 		}
 		answer.Request = r
-		c.node.Post(func() { c.engine.Advised(boot.Now(), answer) })
+		c.node.Post(func() { c.engine.HandleAdvice(boot.Now(), answer) })
 	}()
 }
 
--- a/internal/sched/drive/advice.go
+++ b/internal/sched/drive/advice.go
@@ -44,8 +44,8 @@
 		// Tickets are those of the agents that may run the step, by name.
 		Tickets map[string]string
 		// Valid is how long the tickets hold, from the answer on.
-		Valid  time.Duration
-		Detail string
+		ValidFor time.Duration
+		Detail   string
 	}
 
 	ticket struct {
@@ -128,7 +128,7 @@
 }
 
 // Advised takes an answer of the service.
-func (e *Engine) Advised(now time.Duration, a AdviceAnswer) {
+func (e *Engine) HandleAdvice(now time.Duration, a AdviceAnswer) {
 	e.now = now
 	if a.Request.Term != e.term || e.term == 0 {
 		return
@@ -140,7 +140,7 @@
 		e.options.Logger.Info("no advice", "job", a.Request.Job, "step", a.Request.Step, "agents", len(a.Request.Agents), "detail", a.Detail)
 		return
 	}
-	e.options.Logger.Info("advice", "job", a.Request.Job, "step", a.Request.Step, "agents", len(a.Request.Agents), "allowed", len(a.Tickets), "valid", a.Valid)
+	e.options.Logger.Info("advice", "job", a.Request.Job, "step", a.Request.Step, "agents", len(a.Request.Agents), "allowed", len(a.Tickets), "valid", a.ValidFor)
 	if t == nil {
 		return
 	}
@@ -148,7 +148,7 @@
 	for i, id := range a.Request.Agents {
 		known.asked[id] = true
 		if text, allowed := a.Tickets[a.Request.Names[i]]; allowed {
-			known.tickets[id] = ticket{text, now + a.Valid}
+			known.tickets[id] = ticket{text, now + a.ValidFor}
 		}
 	}
 }
--- a/internal/sched/drive/agent.go
+++ b/internal/sched/drive/agent.go
@@ -141,7 +141,7 @@
 	if next.wait > 0 {
 		e.waitingHolds++
 	}
-	o := Order{Kind: Hold, LastSeen: at.lastSeen, Wait: next.wait}
+	o := Order{Kind: Poll, LastAcked: at.lastSeen, Wait: next.wait}
 	// A silent agent gets no longer lease: each one sent may have been taken, so
 	// its end would move ahead with every try, and an agent that is gone for good
 	// would never be given up, nor its work run elsewhere.
@@ -178,7 +178,7 @@
 	}
 	if a.Verdict != Accepted {
 		holdsFailed.Inc()
-		if a.Verdict != Unsent || at.failed > 0 || e.now-at.answered > suspectAfter {
+		if a.Verdict != NotSent || at.failed > 0 || e.now-at.answered > suspectAfter {
 			at.failed++
 		}
 		if at.failed == 1 {
@@ -212,8 +212,8 @@
 // ended: the connection on which a hold waited was closed, or a new one was refused. Where
 // holds have failed before, a connection that is closed is one that outlived a cut.
 func (r *agent) noteClosed(a Answer) {
-	waited := a.Order.Kind == Hold && r.failed == 0
-	if a.Closed && (waited || a.Verdict == Unsent) {
+	waited := a.Order.Kind == Poll && r.failed == 0
+	if a.ConnectionClosed && (waited || a.Verdict == NotSent) {
 		r.closed = true
 	}
 }
--- a/internal/sched/drive/bench_test.go
+++ b/internal/sched/drive/bench_test.go
@@ -40,7 +40,7 @@
 				s.happen()
 				s.graph.Changed()
 				b.StartTimer()
-				s.engine.Turn(s.now)
+				s.engine.Tick(s.now)
 			}
 			b.ReportMetric(float64(waiting), "stages-waiting")
 		})
--- a/internal/sched/drive/crowd.go
+++ b/internal/sched/drive/crowd.go
@@ -41,7 +41,7 @@
 		return r.peak
 	}
 	r.peakOf, r.peakAt = r.own.At, e.now
-	if e.on(SwingForeseen) {
+	if e.on(PredictVariation) {
 		r.peak = e.pressure.Peak(&r.own, e.now+placeAhead)
 	} else {
 		r.peak = e.pressure.Level(&r.own)
@@ -54,7 +54,7 @@
 func (e *Engine) claim(r *run) float64 {
 	step := r.task.Stage.Step
 	switch {
-	case e.on(RoomByUse):
+	case e.on(UsageBasedCapacity):
 		return r.use(e.highest(r))
 	case step.Standing:
 		return float64(step.CpuMillis) * standingUse
--- a/internal/sched/drive/ends.go
+++ b/internal/sched/drive/ends.go
@@ -21,8 +21,8 @@
 func (e *Engine) noteEnded(at *agent, a Answer) {
 	last := at.lastSeen
 	var ends []*wire.RunEnd
-	var skipped []RunReport
-	for _, report := range a.Ended {
+	var skipped []Completion
+	for _, report := range a.Completions {
 		t := e.graph.Find(report.Run)
 		if known := at.runs[t]; known != nil {
 			known.listedAt = e.now
@@ -56,7 +56,7 @@
 // noteSkipped logs ends that are left out as known, where the run that one of them
 // ends is taken to be there: then it isn't known, and its number belongs to another
 // count.
-func (e *Engine) noteSkipped(at *agent, skipped []RunReport) {
+func (e *Engine) noteSkipped(at *agent, skipped []Completion) {
 	for _, report := range skipped {
 		r := e.runOf(at, report.Run)
 		if r == nil || r.ending {
--- a/internal/sched/drive/engine.go
+++ b/internal/sched/drive/engine.go
@@ -29,10 +29,10 @@
 		Propose func(command *wire.Command, done func(state.Result, error))
 		// Leads tells the term in which this replica leads and has applied all
 		// that earlier leaders committed.
-		Leads func() (term uint64, ok bool)
-		// MayOrder tells whether a quorum has confirmed the lead in the term so
+		IsLeader func() (term uint64, ok bool)
+		// HoldsLeaderLease tells whether a quorum has confirmed the lead in the term so
 		// lately that orders may leave. Nil is always.
-		MayOrder func(term uint64) bool
+		HoldsLeaderLease func(term uint64) bool
 		// Send hands an order over without blocking. Its answer comes back
 		// through Answered.
 		Send func(Order)
@@ -40,9 +40,9 @@
 		// through Advised. Nil where there is none.
 		Advise func(AdviceRequest)
 		// Wall is the time of day, for work that is due at one.
-		Wall func() time.Time
+		WallClock func() time.Time
 		// Boot is a clock that also counts suspension; package boot's when nil.
-		Boot func() time.Duration
+		BootClock func() time.Duration
 		// Lease is how long an agent may run on without hearing from the
 		// leader, StopGrace how long it takes at most to stop a run.
 		Lease, StopGrace time.Duration
@@ -51,10 +51,10 @@
 		OtherRackFactor float64
 		// Connections is how many connections to agents there may be; 0 is as many as are
 		// wanted.
-		Connections int
+		MaxConnections int
 		// Off are mechanisms that are switched off.
-		Off    map[Mechanism]bool
-		Logger *slog.Logger
+		Disabled map[Feature]bool
+		Logger   *slog.Logger
 	}
 
 	// Engine drives the agents while this replica leads.
@@ -137,8 +137,8 @@
 
 // New returns an engine that doesn't drive yet.
 func New(options Options) *Engine {
-	if options.Boot == nil {
-		options.Boot = boot.Now
+	if options.BootClock == nil {
+		options.BootClock = boot.Now
 	}
 	options.OtherRackFactor = max(options.OtherRackFactor, 1)
 	e := &Engine{options: options, graph: options.Graph}
@@ -175,9 +175,9 @@
 }
 
 // Turn does what has become due. Now is the boot clock.
-func (e *Engine) Turn(now time.Duration) {
+func (e *Engine) Tick(now time.Duration) {
 	e.now = now
-	term, leads := e.options.Leads()
+	term, leads := e.options.IsLeader()
 	if !leads {
 		if e.term != 0 {
 			e.options.Logger.Info("driving ends: leadership lost", "term", e.term)
@@ -192,7 +192,7 @@
 	e.followGraph()
 	e.flushEnds()
 	// Without the right to order all would be sent in vain, again each turn.
-	if e.options.MayOrder != nil && !e.options.MayOrder(e.term) {
+	if e.options.HoldsLeaderLease != nil && !e.options.HoldsLeaderLease(e.term) {
 		return
 	}
 	if now >= e.nextTend {
@@ -205,7 +205,7 @@
 }
 
 // Wake is how long from now the engine wants its next turn at the latest.
-func (e *Engine) Wake() time.Duration {
+func (e *Engine) NextTick() time.Duration {
 	if e.term == 0 {
 		return timedInterval
 	}
@@ -249,12 +249,12 @@
 }
 
 // Answered takes the answer to an order.
-func (e *Engine) Answered(now time.Duration, a Answer) {
+func (e *Engine) HandleAnswer(now time.Duration, a Answer) {
 	e.now = now
 	if a.Order.Fence != e.term || e.term == 0 {
 		return // an order of an earlier term; its agent is asked anew
 	}
-	if a.Order.Kind == Hold && a.Order.Wait > 0 {
+	if a.Order.Kind == Poll && a.Order.Wait > 0 {
 		e.waitingHolds--
 	}
 	r := e.agents[a.Order.Agent.Id]
@@ -274,13 +274,13 @@
 	}
 	r.noteClosed(a)
 	switch a.Order.Kind {
-	case Hold:
+	case Poll:
 		e.holdAnswered(r, a)
 	case Start:
 		e.startAnswered(r, a)
 	case Stop:
 		e.stopAnswered(r, a)
-	case Pace:
+	case Throttle:
 		e.paceAnswered(r, a)
 	}
 }
--- a/internal/sched/drive/keep_test.go
+++ b/internal/sched/drive/keep_test.go
@@ -14,8 +14,8 @@
 	"sycamoredeck.example/internal/store/graph"
 )
 
-func off(mechanisms ...drive.Mechanism) map[drive.Mechanism]bool {
-	named := map[drive.Mechanism]bool{}
+func off(mechanisms ...drive.Feature) map[drive.Feature]bool {
+	named := map[drive.Feature]bool{}
 	for _, m := range mechanisms {
 		named[m] = true
 	}
@@ -29,9 +29,9 @@
 func TestRoomIsKeptBeforeOrdinaryWorkWasSeen(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		off    map[drive.Mechanism]bool
+		off    map[drive.Feature]bool
 		atOnce bool
-	}{{"kept", nil, true}, {"not kept", off(drive.Reserve), false}} {
+	}{{"kept", nil, true}, {"not kept", off(drive.ReserveForOrdinary), false}} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newSim(1, 4, true, faults{off: c.off})
 			s.run(2*time.Second, 0)
@@ -77,10 +77,10 @@
 }
 
 func TestMechanismNames(t *testing.T) {
-	named, err := drive.ParseMechanisms([]string{"Halts", " Moves"})
+	named, err := drive.ParseFeatures([]string{"Halts", " Moves"})
 	assert.NilError(t, err)
-	assert.Assert(t, named[drive.Halts] && named[drive.Moves] && !named[drive.Reserve])
-	_, err = drive.ParseMechanisms([]string{"Hats"})
+	assert.Assert(t, named[drive.HaltOpportunistic] && named[drive.Migrate] && !named[drive.ReserveForOrdinary])
+	_, err = drive.ParseFeatures([]string{"Hats"})
 	assert.ErrorContains(t, err, "Hats")
 }
 
--- a/internal/sched/drive/looks.go
+++ b/internal/sched/drive/looks.go
@@ -49,10 +49,10 @@
 
 // connectionsShort tells whether not all agents may have a hold wait on them.
 func (e *Engine) connectionsShort() bool {
-	return e.options.Connections > 0 && len(e.agents) > e.mayWait()
+	return e.options.MaxConnections > 0 && len(e.agents) > e.mayWait()
 }
 
-func (e *Engine) mayWait() int { return int(float64(e.options.Connections) * waitingShare) }
+func (e *Engine) mayWait() int { return int(float64(e.options.MaxConnections) * waitingShare) }
 
 // expectsEnd tells whether a run on the agent is to end by itself.
 func (r *agent) expectsEnd() bool {
--- a/internal/sched/drive/mechs.go
+++ b/internal/sched/drive/mechs.go
@@ -11,44 +11,44 @@
 // Mechanism is a part of how work is placed that can be switched off, to find out
 // what it is worth. None of them keeps a promise on its own: what must hold does so
 // with all of them off.
-type Mechanism string
+type Feature string
 
 // The mechanisms.
 const (
-	// AlikeTogether places standing tasks of one image on the same agents.
-	AlikeTogether Mechanism = "AlikeTogether"
+	// GroupSimilar places standing tasks of one image on the same agents.
+	GroupSimilar Feature = "AlikeTogether"
 	// Halts stops all opportunistic work beside a standing run that is over its target
 	// for long.
-	Halts Mechanism = "Halts"
-	// KeepClear lets room grow for a standing task that has to come back.
-	KeepClear Mechanism = "KeepClear"
-	// LearnedKept hands what a leader learned to the next one.
-	LearnedKept Mechanism = "LearnedKept"
-	// LearnedTimes orders work by how long it is found to take, not by what is declared.
-	LearnedTimes Mechanism = "LearnedTimes"
+	HaltOpportunistic Feature = "Halts"
+	// ReserveForStanding lets room grow for a standing task that has to come back.
+	ReserveForStanding Feature = "KeepClear"
+	// PersistEstimates hands what a leader learned to the next one.
+	PersistEstimates Feature = "LearnedKept"
+	// EstimateDurations orders work by how long it is found to take, not by what is declared.
+	EstimateDurations Feature = "LearnedTimes"
 	// Moves stops disturbing runs that save their progress, to resume elsewhere.
-	Moves Mechanism = "Moves"
+	Migrate Feature = "Moves"
 	// Reserve keeps room for ordinary work against standing tasks that are new.
-	Reserve Mechanism = "Reserve"
-	// RoomByUse takes what is used, not what is declared, for the room of
+	ReserveForOrdinary Feature = "Reserve"
+	// UsageBasedCapacity takes what is used, not what is declared, for the room of
 	// opportunistic work.
-	RoomByUse Mechanism = "RoomByUse"
-	// SwingForeseen looks for the peak of standing tasks' own loads over a run's time.
-	SwingForeseen Mechanism = "SwingForeseen"
+	UsageBasedCapacity Feature = "RoomByUse"
+	// PredictVariation looks for the peak of standing tasks' own loads over a run's time.
+	PredictVariation Feature = "SwingForeseen"
 )
 
 // Mechanisms are all that can be switched off.
-var Mechanisms = []Mechanism{
-	AlikeTogether, Halts, KeepClear, LearnedKept, LearnedTimes, Moves, Reserve, RoomByUse, SwingForeseen,
+var Features = []Feature{
+	GroupSimilar, HaltOpportunistic, ReserveForStanding, PersistEstimates, EstimateDurations, Migrate, ReserveForOrdinary, UsageBasedCapacity, PredictVariation,
 }
 
-// ParseMechanisms reads names of mechanisms.
-func ParseMechanisms(names []string) (map[Mechanism]bool, error) {
-	named := map[Mechanism]bool{}
+// ParseFeatures reads names of mechanisms.
+func ParseFeatures(names []string) (map[Feature]bool, error) {
+	named := map[Feature]bool{}
 	for _, name := range names {
-		m := Mechanism(strings.TrimSpace(name))
-		if !slices.Contains(Mechanisms, m) {
-			return nil, fmt.Errorf("drive: no mechanism %q; there are %v", name, Mechanisms)
+		m := Feature(strings.TrimSpace(name))
+		if !slices.Contains(Features, m) {
+			return nil, fmt.Errorf("drive: no mechanism %q; there are %v", name, Features)
 		}
 		named[m] = true
 	}
@@ -56,4 +56,4 @@
 }
 
 // on tells whether a mechanism is in force.
-func (e *Engine) on(m Mechanism) bool { return !e.options.Off[m] }
+func (e *Engine) on(m Feature) bool { return !e.options.Disabled[m] }
--- a/internal/sched/drive/model_test.go
+++ b/internal/sched/drive/model_test.go
@@ -45,7 +45,7 @@
 		deadline    time.Duration
 		runs        map[string]*modelRun
 		closed      map[string]uint32 // highest run stopped or ended, by task
-		ends        []drive.RunReport
+		ends        []drive.Completion
 		number      uint64
 		// lapsed is the number of the latest end that was listed when the lease ran out. An
 		// acknowledgement that comes after that notes none of those ends.
@@ -103,10 +103,10 @@
 	}
 	r.fence = o.Fence
 	switch o.Kind {
-	case drive.Hold:
+	case drive.Poll:
 		a.Incarnation = r.incarnation
 		r.extend(o.Deadline)
-		for len(r.ends) > 0 && r.ends[0].Number <= o.LastSeen {
+		for len(r.ends) > 0 && r.ends[0].Number <= o.LastAcked {
 			if r.ends[0].Number > r.lapsed {
 				r.sim.noted(r.ends[0])
 			}
@@ -117,9 +117,9 @@
 		a.Verdict = r.start(o)
 	case drive.Stop:
 		r.stop(o.Run)
-	case drive.Pace:
+	case drive.Throttle:
 		if run := r.runs[taskKey(o.Run)]; run != nil && run.id.Run == o.Run.Run {
-			run.pace = o.Percent
+			run.pace = o.CPUPercent
 		}
 	}
 	return a
@@ -129,7 +129,7 @@
 	for _, key := range r.keys() {
 		run := r.runs[key]
 		percent := min(int(100*run.work/max(run.length, 1)), 100)
-		status := drive.RunStatus{Run: run.id, Percent: percent, Checkpoint: "saved", Usage: int(run.step.CpuMillis)}
+		status := drive.RunStatus{Run: run.id, ProgressPercent: percent, Checkpoint: "saved", Usage: int(run.step.CpuMillis)}
 		switch {
 		case run.step.TailTargetMs > 0:
 			status.Usage = r.sim.tailOf(r, run)
@@ -138,7 +138,7 @@
 		}
 		a.Running = append(a.Running, status)
 	}
-	a.Ended = append(a.Ended, r.ends...)
+	a.Completions = append(a.Completions, r.ends...)
 }
 
 func (r *modelAgent) extend(deadline time.Duration) {
@@ -148,7 +148,7 @@
 func (r *modelAgent) start(o drive.Order) drive.Verdict {
 	key := taskKey(o.Run)
 	if o.Deadline < r.clock() {
-		return drive.RefusedLate
+		return drive.RefusedExpired
 	}
 	if run := r.runs[key]; run != nil && run.id.Run == o.Run.Run {
 		r.extend(o.Deadline)
@@ -156,7 +156,7 @@
 	}
 	r.extend(o.Deadline)
 	if o.Run.Run <= r.closed[key] {
-		return drive.RefusedOld
+		return drive.RefusedStale
 	}
 	if r.sim.advice {
 		wanted := fmt.Sprintf("%s.%d.%d/%s", o.Run.Job, o.Run.Occurrence, o.Run.Step, r.record.Id)
@@ -169,7 +169,7 @@
 	if !step.Opportunistic && r.committed()+step.CpuMillis > r.record.CpuMillis {
 		shrunk := r.fullRoom > 0 && (r.sim.now < r.shrunkAt+roomKnown || r.sim.now < r.cutUntil+roomKnown)
 		r.sim.check(r.sim.guarded || shrunk, "%s is committed beyond its room by %s, ordered at %v, shrunk at %v", r.record.Id, key, o.SentAt, r.shrunkAt)
-		return drive.RefusedRoom
+		return drive.RefusedCapacity
 	}
 	r.sim.began(r, o)
 	length := time.Duration(step.EstimateMs) * time.Millisecond
@@ -247,7 +247,7 @@
 	delete(r.runs, key)
 	r.closed[key] = max(r.closed[key], run.id.Run)
 	r.number++
-	r.ends = append(r.ends, drive.RunReport{Number: r.number, Run: run.id, Outcome: outcome, Checkpoint: "saved"})
+	r.ends = append(r.ends, drive.Completion{Number: r.number, Run: run.id, Outcome: outcome, Checkpoint: "saved"})
 	r.sim.ended(run, outcome)
 }
 
--- a/internal/sched/drive/order.go
+++ b/internal/sched/drive/order.go
@@ -36,12 +36,12 @@
 		// Deadline is when the lease of all that runs there ends, on the
 		// agent's clock; 0 leaves it as it is.
 		Deadline time.Duration
-		// LastSeen acknowledges all ends up to this number; of a hold.
-		LastSeen uint64
+		// LastAcked acknowledges all ends up to this number; of a hold.
+		LastAcked uint64
 		// Wait is how long a hold's answer may wait for an end.
 		Wait time.Duration
 		// Percent is the share at which a paced run may work.
-		Percent int
+		CPUPercent int
 		// SentAt is when the order was handed over, on the boot clock.
 		SentAt time.Duration
 	}
@@ -56,28 +56,28 @@
 		// Incarnation is that of the agent that answered a hold; 0 where it isn't told.
 		Incarnation uint64
 		Running     []RunStatus
-		Ended       []RunReport
+		Completions []Completion
 		// Closed tells of an order without an answer that the other end closed or refused
 		// the connection, as happens where a process has ended. One that is cut off says
 		// nothing.
-		Closed bool
+		ConnectionClosed bool
 		// Detail is for logs.
 		Detail string
 	}
 
 	// RunStatus is a run that exists on an agent.
 	RunStatus struct {
-		Run        *wire.RunId
-		Checkpoint string
-		Percent    int
+		Run             *wire.RunId
+		Checkpoint      string
+		ProgressPercent int
 		// Usage is the tail latency in milliseconds of a standing task with a
 		// target, else the thousandths of a processor in use; over the last
 		// half second.
 		Usage int
 	}
 
-	// RunReport is a run that ended on an agent.
-	RunReport struct {
+	// Completion is a run that ended on an agent.
+	Completion struct {
 		Number     uint64
 		Run        *wire.RunId
 		Outcome    wire.RunOutcome
@@ -87,10 +87,10 @@
 
 // The kinds of orders.
 const (
-	Hold Kind = iota // renew the lease, acknowledge ends, ask what runs
+	Poll Kind = iota // renew the lease, acknowledge ends, ask what runs
 	Start
 	Stop
-	Pace
+	Throttle
 )
 
 // The verdicts.
@@ -98,15 +98,15 @@
 	// NoAnswer: the order may have been carried out, or may be yet.
 	NoAnswer Verdict = iota
 	// Unsent: the order surely didn't reach the agent.
-	Unsent
+	NotSent
 	// Accepted: it was carried out, now or before.
 	Accepted
-	// RefusedRoom: the agent's room doesn't suffice.
-	RefusedRoom
-	// RefusedOld: this run was stopped or has ended there.
-	RefusedOld
-	// RefusedLate: the deadline has gone by.
-	RefusedLate
+	// RefusedCapacity: the agent's room doesn't suffice.
+	RefusedCapacity
+	// RefusedStale: this run was stopped or has ended there.
+	RefusedStale
+	// RefusedExpired: the deadline has gone by.
+	RefusedExpired
 	// RefusedFence: a leader with a higher fence was there.
 	RefusedFence
 	// RefusedTicket: the start's ticket doesn't hold.
@@ -120,11 +120,11 @@
 	NoConnection
 )
 
-var kindNames = [...]string{Hold: "hold", Start: "start", Stop: "stop", Pace: "pace"}
+var kindNames = [...]string{Poll: "hold", Start: "start", Stop: "stop", Throttle: "pace"}
 
 var verdictNames = [...]string{
-	NoAnswer: "no answer", Unsent: "not sent", Accepted: "accepted", RefusedRoom: "refused: room",
-	RefusedOld: "refused: run is old", RefusedLate: "refused: late", RefusedFence: "refused: fence", RefusedTicket: "refused: ticket",
+	NoAnswer: "no answer", NotSent: "not sent", Accepted: "accepted", RefusedCapacity: "refused: room",
+	RefusedStale: "refused: run is old", RefusedExpired: "refused: late", RefusedFence: "refused: fence", RefusedTicket: "refused: ticket",
 	RefusedOther: "refused", OtherIncarnation: "other incarnation",
 	NoConnection: "no connection",
 }
--- a/internal/sched/drive/order_test.go
+++ b/internal/sched/drive/order_test.go
@@ -35,11 +35,11 @@
 			res := s.graph.Apply(time.Unix(0, 0), c.GetWork())
 			done(state.Result{Err: res.Err, Placed: res.Placed}, nil)
 		},
-		Leads:  func() (uint64, bool) { return 1, true },
-		Send:   func(o drive.Order) { s.orders = append(s.orders, o) },
-		Boot:   func() time.Duration { return s.now },
-		Wall:   func() time.Time { return time.Unix(0, 0).Add(s.now) },
-		Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		IsLeader:  func() (uint64, bool) { return 1, true },
+		Send:      func(o drive.Order) { s.orders = append(s.orders, o) },
+		BootClock: func() time.Duration { return s.now },
+		WallClock: func() time.Time { return time.Unix(0, 0).Add(s.now) },
+		Logger:    slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 	for _, c := range []*wire.WorkCommand{
 		{Body: &wire.WorkCommand_PutCatalog{PutCatalog: &wire.Catalog{
@@ -66,7 +66,7 @@
 			}
 		}
 		s.now += simTick
-		s.engine.Turn(s.now)
+		s.engine.Tick(s.now)
 	}
 	s.t.Fatalf("no %v is sent", kind)
 	return drive.Order{}
@@ -74,7 +74,7 @@
 
 // answer gives an answer and has committed what follows from it.
 func (s *script) answer(o drive.Order, v drive.Verdict) {
-	s.engine.Answered(s.now, drive.Answer{Order: o, Verdict: v, ClockKnown: v == drive.Accepted, Clock: s.now})
+	s.engine.HandleAnswer(s.now, drive.Answer{Order: o, Verdict: v, ClockKnown: v == drive.Accepted, Clock: s.now})
 	s.engine.CommitEnds()
 }
 
@@ -87,23 +87,23 @@
 // for the copy that it answers, not for the others.
 func TestRefusalDoesNotSpeakForACopyUnderWay(t *testing.T) {
 	s := newScript(t)
-	s.answer(s.next(drive.Hold), drive.Accepted)
+	s.answer(s.next(drive.Poll), drive.Accepted)
 	s.answer(s.next(drive.Start), drive.NoAnswer)
-	s.answer(s.next(drive.Start), drive.RefusedRoom)
+	s.answer(s.next(drive.Start), drive.RefusedCapacity)
 	assert.Equal(t, s.task().Agent, "a", "the run is given up while a copy of its start is on its way")
 	s.answer(s.next(drive.Stop), drive.Accepted)
 	s.orders = nil
-	s.engine.Answered(s.now, drive.Answer{Order: drive.Order{Kind: drive.Hold, Agent: &wire.Agent{Id: "a"}, Fence: 1, SentAt: s.now + 1}, Verdict: drive.Accepted})
+	s.engine.HandleAnswer(s.now, drive.Answer{Order: drive.Order{Kind: drive.Poll, Agent: &wire.Agent{Id: "a"}, Fence: 1, SentAt: s.now + 1}, Verdict: drive.Accepted})
 	s.now += time.Second
-	s.engine.Turn(s.now)
+	s.engine.Tick(s.now)
 	assert.Equal(t, s.next(drive.Start).Run.Run, uint32(2))
 }
 
 // A refusal of the only copy settles the run at once.
 func TestRefusalOfTheOnlyCopySettles(t *testing.T) {
 	s := newScript(t)
-	s.answer(s.next(drive.Hold), drive.Accepted)
-	s.answer(s.next(drive.Start), drive.RefusedRoom)
+	s.answer(s.next(drive.Poll), drive.Accepted)
+	s.answer(s.next(drive.Start), drive.RefusedCapacity)
 	assert.Equal(t, s.task().Agent, "")
 	assert.Equal(t, s.next(drive.Start).Run.Run, uint32(2))
 }
@@ -112,10 +112,10 @@
 // Cause: the agent hasn't seen this leader's fence yet.
 func TestNoStartBeforeTheFenceWasSeen(t *testing.T) {
 	s := newScript(t)
-	s.next(drive.Hold)
+	s.next(drive.Poll)
 	for range 100 {
 		s.now += simTick
-		s.engine.Turn(s.now)
+		s.engine.Tick(s.now)
 	}
 	for _, o := range s.orders {
 		assert.Assert(t, o.Kind != drive.Start)
@@ -127,13 +127,13 @@
 // that its task doesn't wait for ever.
 func TestVanishedRunIsSettled(t *testing.T) {
 	s := newScript(t)
-	s.answer(s.next(drive.Hold), drive.Accepted)
+	s.answer(s.next(drive.Poll), drive.Accepted)
 	s.answer(s.next(drive.Start), drive.Accepted)
 	s.now += time.Second
-	s.answer(s.next(drive.Hold), drive.Accepted) // asked before the start was answered: says nothing
+	s.answer(s.next(drive.Poll), drive.Accepted) // asked before the start was answered: says nothing
 	assert.Equal(t, s.task().Agent, "a")
 	s.now += time.Second
-	s.answer(s.next(drive.Hold), drive.Accepted)
+	s.answer(s.next(drive.Poll), drive.Accepted)
 	assert.Equal(t, s.task().Agent, "")
 }
 
@@ -141,12 +141,12 @@
 // progress. Cause: only ends brought checkpoints, and a lost agent lists none.
 func TestLostAgentsWorkResumes(t *testing.T) {
 	s := newScript(t)
-	s.answer(s.next(drive.Hold), drive.Accepted)
+	s.answer(s.next(drive.Poll), drive.Accepted)
 	s.answer(s.next(drive.Start), drive.Accepted)
-	s.engine.Answered(s.now, drive.Answer{Order: s.next(drive.Hold), Verdict: drive.Accepted, Running: []drive.RunStatus{
-		{Run: s.task().ID(), Checkpoint: "saved-7", Percent: 50},
+	s.engine.HandleAnswer(s.now, drive.Answer{Order: s.next(drive.Poll), Verdict: drive.Accepted, Running: []drive.RunStatus{
+		{Run: s.task().ID(), Checkpoint: "saved-7", ProgressPercent: 50},
 	}})
-	s.answer(s.next(drive.Hold), drive.OtherIncarnation)
+	s.answer(s.next(drive.Poll), drive.OtherIncarnation)
 	assert.Equal(t, s.task().Agent, "")
 	assert.Equal(t, s.task().Checkpoint, "saved-7")
 }
@@ -158,7 +158,7 @@
 // that the end of the lease moved ahead with every try.
 func TestAgentGoneForGoodIsGivenUp(t *testing.T) {
 	s := newScript(t)
-	s.answer(s.next(drive.Hold), drive.Accepted)
+	s.answer(s.next(drive.Poll), drive.Accepted)
 	s.answer(s.next(drive.Start), drive.Accepted)
 	s.now += time.Second
 	lastGrant := s.now
@@ -168,7 +168,7 @@
 		}
 		s.orders = nil
 		s.now += simTick
-		s.engine.Turn(s.now)
+		s.engine.Tick(s.now)
 	}
 	assert.Equal(t, s.task().Agent, "", "its run is never given up")
 	lapsed := modelLease * 100 / 98
@@ -180,17 +180,17 @@
 // and is sent once the agent is heard again.
 func TestNoStartToASilentAgent(t *testing.T) {
 	s := newScript(t)
-	s.answer(s.next(drive.Hold), drive.Accepted)
+	s.answer(s.next(drive.Poll), drive.Accepted)
 	first := s.next(drive.Start)
-	s.answer(s.next(drive.Hold), drive.NoAnswer)
+	s.answer(s.next(drive.Poll), drive.NoAnswer)
 	s.answer(first, drive.NoAnswer)
 	for range 5 {
-		s.answer(s.next(drive.Hold), drive.NoAnswer)
+		s.answer(s.next(drive.Poll), drive.NoAnswer)
 	}
 	for _, o := range s.orders {
 		assert.Assert(t, o.Kind != drive.Start, "a start is sent to a silent agent")
 	}
-	s.answer(s.next(drive.Hold), drive.Accepted)
+	s.answer(s.next(drive.Poll), drive.Accepted)
 	assert.Equal(t, s.next(drive.Start).Run.Run, uint32(1))
 }
 
@@ -199,10 +199,10 @@
 // read made an agent, whoever wrote it.
 func TestReportsOfOtherWritersMakeNoAgent(t *testing.T) {
 	s := newScript(t)
-	s.engine.Turn(s.now)
+	s.engine.Tick(s.now)
 	report := func(id, address, pool string) {
 		called := false
-		s.engine.Reported(s.now, &wire.ReportAgentRequest{Agent: &wire.Agent{Id: id, Address: address, Pool: pool, CpuMillis: 8000}}, func(err error) {
+		s.engine.HandleReport(s.now, &wire.ReportAgentRequest{Agent: &wire.Agent{Id: id, Address: address, Pool: pool, CpuMillis: 8000}}, func(err error) {
 			called = true
 			assert.NilError(t, err)
 		})
--- a/internal/sched/drive/overload_test.go
+++ b/internal/sched/drive/overload_test.go
@@ -15,7 +15,7 @@
 
 // serveFlood hands in more work than three agents can do, with declared times that are
 // off, and returns how many of the jobs end within twice their real time.
-func serveFlood(seed uint64, without map[drive.Mechanism]bool) int {
+func serveFlood(seed uint64, without map[drive.Feature]bool) int {
 	s := newSim(seed, 3, true, faults{off: without})
 	s.realTimes = map[string]time.Duration{}
 	s.run(2*time.Second, 0)
@@ -43,7 +43,7 @@
 	learned, declared := 0, 0
 	for seed := range uint64(6) {
 		learned += serveFlood(seed, nil)
-		declared += serveFlood(seed, off(drive.LearnedTimes))
+		declared += serveFlood(seed, off(drive.EstimateDurations))
 	}
 	t.Logf("in time of 1440: %d by learned times, %d by declared ones", learned, declared)
 	assert.Assert(t, learned > declared, "%d by learned times, %d by declared ones", learned, declared)
--- a/internal/sched/drive/pace.go
+++ b/internal/sched/drive/pace.go
@@ -61,7 +61,7 @@
 		pace := int(float64(r.wantedPace)*(1-part)) / paceGrain * paceGrain
 		excess -= adds * part
 		at.paceChanged = e.now
-		if pace < moveBelow && r.task.Stage.Step.Checkpointable && e.on(Moves) {
+		if pace < moveBelow && r.task.Stage.Step.Checkpointable && e.on(Migrate) {
 			e.moveAway(r, standing)
 		}
 		e.setPace(r, pace, standing)
@@ -165,7 +165,7 @@
 		return
 	}
 	r.pacing = true
-	e.send(r.agent, Order{Kind: Pace, Run: r.id(), Percent: r.wantedPace})
+	e.send(r.agent, Order{Kind: Throttle, Run: r.id(), CPUPercent: r.wantedPace})
 }
 
 func (e *Engine) paceAnswered(at *agent, a Answer) {
@@ -175,7 +175,7 @@
 	}
 	r.pacing = false
 	if a.Verdict == Accepted {
-		r.earlierPace, r.pace, r.pacedAt = r.pace, a.Order.Percent, e.now
+		r.earlierPace, r.pace, r.pacedAt = r.pace, a.Order.CPUPercent, e.now
 		r.progressAt = e.now
 		return
 	}
--- a/internal/sched/drive/pace_test.go
+++ b/internal/sched/drive/pace_test.go
@@ -55,11 +55,11 @@
 func TestNextLeaderKnowsWhatWasLearned(t *testing.T) {
 	cases := []struct {
 		name string
-		off  map[Mechanism]bool
+		off  map[Feature]bool
 		want float64
 	}{
 		{"kept", nil, 2.5},
-		{"switched off", map[Mechanism]bool{LearnedKept: true}, (&tails.Model{}).Weight("standing", "beside")},
+		{"switched off", map[Feature]bool{PersistEstimates: true}, (&tails.Model{}).Weight("standing", "beside")},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -68,10 +68,10 @@
 				Pairs: []*wire.LearnedPair{{Standing: "standing", Beside: "beside", Weight: 2.5, Variance: 0.01}},
 			}}})
 			e := New(Options{
-				Graph: g, Off: c.off, Leads: func() (uint64, bool) { return 7, true }, Wall: time.Now,
+				Graph: g, Disabled: c.off, IsLeader: func() (uint64, bool) { return 7, true }, WallClock: time.Now,
 				Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
 			})
-			e.Turn(time.Second)
+			e.Tick(time.Second)
 			assert.Equal(t, e.pressure.Weight("standing", "beside"), c.want)
 		})
 	}
--- a/internal/sched/drive/place.go
+++ b/internal/sched/drive/place.go
@@ -54,9 +54,9 @@
 		return
 	}
 	e.dirty, e.nextTimed = false, e.now+timedInterval
-	began := e.options.Boot()
-	defer func() { e.nextPass = e.now + max(passShare*(e.options.Boot()-began), passInterval) }()
-	wall := e.options.Wall()
+	began := e.options.BootClock()
+	defer func() { e.nextPass = e.now + max(passShare*(e.options.BootClock()-began), passInterval) }()
+	wall := e.options.WallClock()
 	e.renewLine(wall)
 	if e.line.empty() {
 		return
@@ -151,7 +151,7 @@
 		if !t.Placeable() {
 			continue
 		}
-		if s.Standing() && t.Run == 0 && p.engine.on(Reserve) && !p.spares(s) {
+		if s.Standing() && t.Run == 0 && p.engine.on(ReserveForOrdinary) && !p.spares(s) {
 			return true
 		}
 		m := f.best(t)
@@ -167,12 +167,12 @@
 			p.take(t, m, t.Run+1)
 			f.taken(m)
 		case t.OnLastTry():
-			if p.engine.on(KeepClear) {
+			if p.engine.on(ReserveForStanding) {
 				p.keepClear(t, rooms)
 				tries.giveLastTry()
 			}
 		case s.Standing() && t.Run > 0:
-			if p.engine.on(KeepClear) {
+			if p.engine.on(ReserveForStanding) {
 				p.keepClear(t, rooms)
 			}
 		case f.none():
@@ -268,7 +268,7 @@
 		// Like images are disturbed by the same ones. Where they are together,
 		// there are agents left for each kind of opportunistic work.
 		alike := float64(m.images[step.Image]) / float64(m.standing+1)
-		if !p.engine.on(AlikeTogether) {
+		if !p.engine.on(GroupSimilar) {
 			alike = 0
 		}
 		return cost - alikeGain*alike - m.cpu/max(m.capacity, 1)
--- a/internal/sched/drive/promises_test.go
+++ b/internal/sched/drive/promises_test.go
@@ -48,7 +48,7 @@
 }
 
 // noted is called when an end is acknowledged to its agent.
-func (s *sim) noted(r drive.RunReport) {
+func (s *sim) noted(r drive.Completion) {
 	if r.Outcome == wire.RunOutcome_RUN_OUTCOME_DONE {
 		s.doneNoted[taskKey(r.Run)] = true
 		t := s.graph.Find(r.Run)
--- a/internal/sched/drive/recall.go
+++ b/internal/sched/drive/recall.go
@@ -21,14 +21,14 @@
 func (e *Engine) recall() {
 	e.saved = e.graph.Learned()
 	e.nextSave = e.now + saveInterval
-	if e.on(LearnedKept) && e.saved != nil {
+	if e.on(PersistEstimates) && e.saved != nil {
 		e.pressure = tails.Restore(e.saved, e.now)
 	}
 }
 
 // remember has what is learned committed now and then.
 func (e *Engine) remember() {
-	if e.now < e.nextSave || !e.on(LearnedKept) {
+	if e.now < e.nextSave || !e.on(PersistEstimates) {
 		return
 	}
 	e.nextSave = e.now + saveInterval
--- a/internal/sched/drive/report.go
+++ b/internal/sched/drive/report.go
@@ -13,16 +13,16 @@
 	"sycamoredeck.example/internal/store/state"
 )
 
-// ErrNotDriving says that another replica has to be told.
-var ErrNotDriving = errors.New("drive: this replica doesn't lead")
+// ErrNotLeader says that another replica has to be told.
+var ErrNotLeader = errors.New("drive: this replica doesn't lead")
 
 // Reported takes a heartbeat. Done is called once what it says is kept for
 // good: at once when it says nothing new. In particular that an agent leaves is
 // acknowledged only after every later leader is bound to know it.
-func (e *Engine) Reported(now time.Duration, report *wire.ReportAgentRequest, done func(error)) {
+func (e *Engine) HandleReport(now time.Duration, report *wire.ReportAgentRequest, done func(error)) {
 	e.now = now
 	if e.term == 0 {
-		done(ErrNotDriving)
+		done(ErrNotLeader)
 		return
 	}
 	if report.Gone {
@@ -93,7 +93,7 @@
 // Knows tells whether a heartbeat says no more than the replicated state of this
 // replica, so that it needn't be taken to the leader. How long a leaving agent stays
 // isn't part of that state.
-func (e *Engine) Knows(report *wire.ReportAgentRequest) bool {
+func (e *Engine) IsRedundant(report *wire.ReportAgentRequest) bool {
 	if report.Gone || report.Agent.Leaving {
 		return false
 	}
--- a/internal/sched/drive/report_test.go
+++ b/internal/sched/drive/report_test.go
@@ -38,6 +38,6 @@
 		{"another incarnation", with(func(a *wire.Agent) { a.Id = "other" }), false},
 	}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { assert.Equal(t, s.engine.Knows(c.report), c.knows) })
+		t.Run(c.name, func(t *testing.T) { assert.Equal(t, s.engine.IsRedundant(c.report), c.knows) })
 	}
 }
--- a/internal/sched/drive/restart_test.go
+++ b/internal/sched/drive/restart_test.go
@@ -142,7 +142,7 @@
 		r := s.agents[address]
 		assert.Equal(t, s.graph.Agent(r.record.Id).Record.Incarnation, r.incarnation)
 		told := &wire.Agent{Id: r.record.Id, Address: address, Pool: "p", CpuMillis: 8000, MemoryMb: 8000}
-		s.engine.Reported(s.now, &wire.ReportAgentRequest{Agent: told}, func(err error) {
+		s.engine.HandleReport(s.now, &wire.ReportAgentRequest{Agent: told}, func(err error) {
 			assert.ErrorContains(t, err, "doesn't tell")
 			refused++
 		})
@@ -207,7 +207,7 @@
 		earlier := s.agents["10.0.0.0:1"]
 		s.bearAs(earlier.record.Id, earlier.record.Address)
 		later := s.agents["10.0.0.0:1"]
-		s.engine.Turn(s.now)
+		s.engine.Tick(s.now)
 		if laterFirst {
 			s.report(later, false)
 		}
@@ -215,7 +215,7 @@
 		s.report(earlier, false)
 		s.now = commitTime
 		s.happen()
-		s.engine.Turn(s.now) // between the two commits
+		s.engine.Tick(s.now) // between the two commits
 		s.submitSpec(&wire.Step{Count: 4, CpuMillis: 1000, EstimateMs: 3000})
 		s.run(15*time.Second, 0)
 		s.assertCompleted(t)
@@ -229,7 +229,7 @@
 func TestLateFirstAnswerEndsNoSuccessor(t *testing.T) {
 	s := newSim(1, 1, true, faults{born: true})
 	earlier := s.agents["10.0.0.0:1"]
-	s.engine.Turn(s.now)
+	s.engine.Tick(s.now)
 	s.report(earlier, false)
 	earlier.cutUntil = time.Hour // its first answer stays on its way
 	s.run(50*time.Millisecond, 0)
@@ -240,8 +240,8 @@
 	}
 	s.now += time.Millisecond
 	s.happen() // the answer of the successor
-	s.engine.Answered(s.now, drive.Answer{
-		Order:   drive.Order{Kind: drive.Hold, Agent: earlier.record, Incarnation: earlier.incarnation, Fence: s.term},
+	s.engine.HandleAnswer(s.now, drive.Answer{
+		Order:   drive.Order{Kind: drive.Poll, Agent: earlier.record, Incarnation: earlier.incarnation, Fence: s.term},
 		Verdict: drive.Accepted, Incarnation: earlier.incarnation,
 	})
 	s.run(time.Second, 0)
--- a/internal/sched/drive/run.go
+++ b/internal/sched/drive/run.go
@@ -90,8 +90,8 @@
 		r.phase = phaseRunning
 		r.startedAt, r.progressAt = now, now
 	}
-	if s.Percent != r.percent {
-		r.percent, r.progressAt = s.Percent, now
+	if s.ProgressPercent != r.percent {
+		r.percent, r.progressAt = s.ProgressPercent, now
 	}
 	if s.Checkpoint != "" {
 		r.checkpoint = s.Checkpoint
@@ -267,9 +267,9 @@
 		if since, ok := e.readySince[r.task.Stage]; ok && r.number == 1 {
 			readyToStart.Update((e.now - since).Seconds())
 		}
-	case NoAnswer, RefusedLate, RefusedFence, NoConnection:
+	case NoAnswer, RefusedExpired, RefusedFence, NoConnection:
 		r.phase, r.nextStart = phaseUnresolved, e.now+startRetry
-	case RefusedOld:
+	case RefusedStale:
 		r.phase, r.closedAt = phaseClosed, e.now
 	case RefusedTicket:
 		delete(e.adviceOf(r.task.Stage).tickets, at.record.Id)
@@ -308,7 +308,7 @@
 // settleAbsent settles the runs that the agent doesn't list, by what is
 // known of their orders.
 func (e *Engine) settleAbsent(at *agent, a Answer) {
-	if len(a.Ended) >= maxEndsListed {
+	if len(a.Completions) >= maxEndsListed {
 		return // the list may be cut off
 	}
 	for _, r := range at.ordered {
--- a/internal/sched/drive/sim_test.go
+++ b/internal/sched/drive/sim_test.go
@@ -57,7 +57,7 @@
 	born           bool    // agents tell their incarnations
 	drain          float64 // a failure domain is drained for some seconds
 	// off are mechanisms that are switched off.
-	off map[drive.Mechanism]bool
+	off map[drive.Feature]bool
 }
 
 type (
@@ -202,17 +202,17 @@
 	term := s.term
 	s.leads, s.ledSince = true, s.now
 	s.engine = drive.New(drive.Options{
-		Graph: s.graph, Connections: s.connections, Lease: modelLease, StopGrace: modelGrace, Off: s.faults.off,
+		Graph: s.graph, MaxConnections: s.connections, Lease: modelLease, StopGrace: modelGrace, Disabled: s.faults.off,
 		Propose: func(c *wire.Command, done func(state.Result, error)) {
 			s.log = append(s.log, proposal{c, done, term})
 			s.after(commitTime, s.commitNext)
 		},
-		Leads:  func() (uint64, bool) { return term, s.leads && s.term == term },
-		Send:   s.carry,
-		Advise: s.adviseOn,
-		Boot:   func() time.Duration { return s.now },
-		Wall:   func() time.Time { return time.Unix(0, 0).Add(s.now) },
-		Logger: s.logger,
+		IsLeader:  func() (uint64, bool) { return term, s.leads && s.term == term },
+		Send:      s.carry,
+		Advise:    s.adviseOn,
+		BootClock: func() time.Duration { return s.now },
+		WallClock: func() time.Time { return time.Unix(0, 0).Add(s.now) },
+		Logger:    s.logger,
 	})
 }
 
@@ -221,20 +221,20 @@
 func (s *sim) adviseOn(r drive.AdviceRequest) {
 	engine := s.engine
 	if s.chance(s.faults.lost) {
-		s.after(r.Timeout, func() { engine.Advised(s.now, drive.AdviceAnswer{Request: r}) })
+		s.after(r.Timeout, func() { engine.HandleAdvice(s.now, drive.AdviceAnswer{Request: r}) })
 		return
 	}
 	s.after(50*time.Millisecond+time.Duration(len(r.Agents))*5*time.Millisecond, func() {
-		answer := drive.AdviceAnswer{Request: r, Answered: true, Valid: 3 * time.Second, Tickets: map[string]string{}}
+		answer := drive.AdviceAnswer{Request: r, Answered: true, ValidFor: 3 * time.Second, Tickets: map[string]string{}}
 		for _, agent := range r.Names {
 			key := fmt.Sprintf("%s.%d.%d/%s", r.Job, r.Occurrence, r.Step, agent)
 			if agent != "r-1" && xxhash.Sum64String(key)%3 == 0 {
 				continue
 			}
 			answer.Tickets[agent] = key
-			s.issued[key] = s.now + answer.Valid
+			s.issued[key] = s.now + answer.ValidFor
 		}
-		engine.Advised(s.now, answer)
+		engine.HandleAdvice(s.now, answer)
 	})
 }
 
@@ -248,7 +248,7 @@
 			s.commit(p.command.GetWork())
 		}
 	}
-	s.engine.Turn(s.now)
+	s.engine.Tick(s.now)
 	s.after(time.Duration(s.random.Int64N(int64(3*time.Second)))+time.Second, s.elect)
 }
 
@@ -271,7 +271,7 @@
 	engine := s.engine
 	timeout := answerTimeout + o.Wait
 	if s.connections > 0 && s.inUse >= s.connections {
-		s.after(time.Millisecond, func() { engine.Answered(s.now, drive.Answer{Order: o, Verdict: drive.NoConnection}) })
+		s.after(time.Millisecond, func() { engine.HandleAnswer(s.now, drive.Answer{Order: o, Verdict: drive.NoConnection}) })
 		return
 	}
 	s.inUse++
@@ -280,22 +280,22 @@
 		if !answered {
 			answered = true
 			s.inUse--
-			engine.Answered(s.now, a)
+			engine.HandleAnswer(s.now, a)
 		}
 	}
 	s.after(timeout, func() { answer(drive.Answer{Order: o, Verdict: drive.NoAnswer}) })
 	if r := s.agents[o.Agent.Address]; r != nil {
-		r.open = append(r.open, func() { answer(drive.Answer{Order: o, Verdict: drive.NoAnswer, Closed: true}) })
+		r.open = append(r.open, func() { answer(drive.Answer{Order: o, Verdict: drive.NoAnswer, ConnectionClosed: true}) })
 	}
 	deliver := func(reply func(drive.Answer)) {
 		r := s.agents[o.Agent.Address]
 		if r == nil && s.refusing[o.Agent.Address] {
-			reply(drive.Answer{Order: o, Verdict: drive.Unsent, Closed: true})
+			reply(drive.Answer{Order: o, Verdict: drive.NotSent, ConnectionClosed: true})
 		}
 		if r == nil || r.cut() {
 			return
 		}
-		if o.Kind == drive.Hold && o.Wait > 0 && len(r.ends) == 0 && r.isFor(o) && o.Fence >= r.fence {
+		if o.Kind == drive.Poll && o.Wait > 0 && len(r.ends) == 0 && r.isFor(o) && o.Fence >= r.fence {
 			r.handle(o)
 			if len(r.ends) == 0 {
 				r.waiting = append(r.waiting, waitingHold{o, s.now + o.Wait, reply})
@@ -381,7 +381,7 @@
 	if gone {
 		told = &wire.Agent{Id: r.record.Id} // which of its incarnations isn't told
 	}
-	s.engine.Reported(s.now, &wire.ReportAgentRequest{Agent: told, Sequence: r.sequence, Gone: gone}, func(error) {})
+	s.engine.HandleReport(s.now, &wire.ReportAgentRequest{Agent: told, Sequence: r.sequence, Gone: gone}, func(error) {})
 }
 
 // run plays for a time.
@@ -401,7 +401,7 @@
 				s.report(r, false)
 			}
 		}
-		s.engine.Turn(s.now)
+		s.engine.Tick(s.now)
 		s.checkUnwanted()
 		if err := s.engine.CheckKept(); err != nil {
 			s.check(false, "%v", err)
--- a/internal/sched/drive/times.go
+++ b/internal/sched/drive/times.go
@@ -108,7 +108,7 @@
 // timeFactor is how many times as long as declared the tasks of a stage, and those that
 // follow it, are expected to take: by the job's own runs, else by those of its queue.
 func (e *Engine) timeFactor(s *graph.Stage) float64 {
-	if !e.on(LearnedTimes) || s.Step.EstimateMs == 0 {
+	if !e.on(EstimateDurations) || s.Step.EstimateMs == 0 {
 		return 1
 	}
 	if own, known := e.learned.jobs[s.Job].factor(); known {
--- a/internal/sched/drive/watch.go
+++ b/internal/sched/drive/watch.go
@@ -72,7 +72,7 @@
 	e.learnTails(at)
 	at.noteBeside()
 	standing := e.longestOver(at)
-	at.halted = standing != nil && e.on(Halts)
+	at.halted = standing != nil && e.on(HaltOpportunistic)
 	if at.halted {
 		e.haltBeside(standing)
 		return
