--- a/example_test.go
+++ b/example_test.go
@@ -16,8 +16,8 @@
 	table := sycamoredeck.NewLeaseTable(since, 4*time.Second, time.Second)
 	now := since.Add(time.Minute)
 	table.Grant("worker-1", "start-1", now)
-	fmt.Println(table.Out("worker-1", "start-1", now.Add(4*time.Second)))
-	fmt.Println(table.Out("worker-1", "start-1", now.Add(5*time.Second)))
+	fmt.Println(table.Expired("worker-1", "start-1", now.Add(4*time.Second)))
+	fmt.Println(table.Expired("worker-1", "start-1", now.Add(5*time.Second)))
 	// Output:
 	// false
 	// true
--- a/internal/run/ctrl/ctrl.go
+++ b/internal/run/ctrl/ctrl.go
@@ -223,7 +223,7 @@
 	c.machine = state.New(state.Options{
 		Retention: c.settings.RecordRetention.AsDuration(),
 		OnJob: func(j *wire.Job) {
-			c.planner.Changed()
+			c.planner.MarkChanged()
 			c.watchers.notify(j)
 		},
 	})
@@ -246,7 +246,7 @@
 	c.planner = plan.New(plan.Options{
 		Machine: c.machine, Lease: c.settings.WorkerLease.AsDuration(),
 		Overlap: c.settings.ElectionTimeout.AsDuration(),
-		Propose: n.Propose, Leads: n.Leads, Confirmed: n.ConfirmedAt,
+		Propose: n.Propose, IsLeader: n.Leads, ConfirmedAt: n.ConfirmedAt,
 		Term:   func() uint64 { return n.Core().Status().Term },
 		Logger: c.logger,
 	})
@@ -262,7 +262,7 @@
 
 // turn runs on the loop after each turn of the replica.
 func (c *Control) turn(now time.Time) {
-	c.planner.Turn(now)
+	c.planner.Tick(now)
 	c.engine.Turn(boot.Now())
 	c.wakeLater()
 	c.tendMembership(now)
--- a/internal/run/ctrl/operator.go
+++ b/internal/run/ctrl/operator.go
@@ -110,7 +110,7 @@
 		for id, w := range s.machine.Workers() {
 			answer.Workers = append(answer.Workers, &wire.WorkerStatus{
 				Worker: w.Record, Committed: w.Committed.Message(), Tasks: uint32(len(w.Tasks)),
-				Attending:        s.planner.Attending(id, w.Record.Incarnation, s.clock.Now()),
+				Attending:        s.planner.HoldsLease(id, w.Record.Incarnation, s.clock.Now()),
 				QuarantineReason: w.Quarantine,
 			})
 		}
--- a/internal/run/ctrl/peer.go
+++ b/internal/run/ctrl/peer.go
@@ -197,7 +197,7 @@
 		s.node.Post(func() {
 			now := s.clock.Now()
 			for _, report := range r.Reports {
-				s.planner.Report(now, report, reply)
+				s.planner.HandleReport(now, report, reply)
 			}
 		})
 	}
--- a/internal/run/ctrl/work.go
+++ b/internal/run/ctrl/work.go
@@ -65,7 +65,7 @@
 		OtherRackFactor: c.settings.OtherRackFactor, Connections: files.Share(c.settings.MaxOpenFiles).Agents,
 		Advise: c.advise, Off: off, Logger: c.logger,
 	})
-	c.machine.Graph().Finished = c.jobFinished
+	c.machine.Graph().OnJobFinished = c.jobFinished
 	c.background.Go(c.forgetLoop)
 	return nil
 }
@@ -214,7 +214,7 @@
 		return "", "", err
 	}
 	err = s.read(ctx, func() {
-		q, r := s.machine.Graph().Match(target.GetHost(), target.GetPath())
+		q, r := s.machine.Graph().MatchQueue(target.GetHost(), target.GetPath())
 		if q != nil {
 			queue, rest = q.Name, r
 		}
@@ -230,7 +230,7 @@
 		return wire.WorkAnswer_WORK_ANSWER_UNKNOWN_QUEUE
 	case errors.Is(err, graph.ErrUnknownJob):
 		return wire.WorkAnswer_WORK_ANSWER_UNKNOWN_JOB
-	case errors.Is(err, graph.ErrOtherContent):
+	case errors.Is(err, graph.ErrContentMismatch):
 		return wire.WorkAnswer_WORK_ANSWER_CONFLICT
 	default:
 		return wire.WorkAnswer_WORK_ANSWER_INVALID
@@ -245,13 +245,13 @@
 	answer := &wire.InspectWorkResponse{Answer: wire.WorkAnswer_WORK_ANSWER_UNKNOWN_QUEUE}
 	err := s.read(ctx, func() {
 		g := s.machine.Graph()
-		q, id := g.Match(r.Target.GetHost(), r.Target.GetPath())
+		q, id := g.MatchQueue(r.Target.GetHost(), r.Target.GetPath())
 		if q == nil {
 			return
 		}
 		answer.Answer = wire.WorkAnswer_WORK_ANSWER_DONE
 		if id == "" {
-			answer.Pending = uint64(g.Pending(q.Name))
+			answer.Pending = uint64(g.PendingJobs(q.Name))
 			return
 		}
 		j := g.Job(id)
@@ -341,7 +341,7 @@
 		}
 		before := c.clock.Now().Add(-c.settings.WorkRetention.AsDuration())
 		c.node.Post(func() {
-			if _, leads := c.node.Leads(); !leads || !c.machine.Graph().Overdue(before) {
+			if _, leads := c.node.Leads(); !leads || !c.machine.Graph().HasRemovableJobs(before) {
 				return
 			}
 			command := &wire.WorkCommand{Body: &wire.WorkCommand_Forget{Forget: &wire.ForgetWork{EndedBefore: timestamppb.New(before)}}}
--- a/internal/sched/drive/advice.go
+++ b/internal/sched/drive/advice.go
@@ -134,7 +134,7 @@
 		return
 	}
 	e.advising, e.dirty = false, true
-	t := e.graph.Find(&wire.RunId{Job: a.Request.Job, Occurrence: a.Request.Occurrence, Step: a.Request.Step})
+	t := e.graph.FindTask(&wire.RunId{Job: a.Request.Job, Occurrence: a.Request.Occurrence, Step: a.Request.Step})
 	if !a.Answered {
 		e.nextAdvice = now + adviceRetry
 		e.options.Logger.Info("no advice", "job", a.Request.Job, "step", a.Request.Step, "agents", len(a.Request.Agents), "detail", a.Detail)
--- a/internal/sched/drive/agent.go
+++ b/internal/sched/drive/agent.go
@@ -89,7 +89,7 @@
 }
 
 func (e *Engine) newAgent(registered *graph.Agent) *agent {
-	at := &agent{record: registered.Record, runs: map[*graph.Task]*run{}, answered: e.now, roomStale: true, incarnation: registered.Record.Incarnation, bounded: registered.Silence != nil}
+	at := &agent{record: registered.Record, runs: map[*graph.Task]*run{}, answered: e.now, roomStale: true, incarnation: registered.Record.Incarnation, bounded: registered.LeaseExpiry != nil}
 	e.agents[registered.Record.Id] = at
 	e.pools, e.sorted = nil, nil
 	return at
@@ -240,7 +240,7 @@
 	at.standing = false
 	for i := range a.Running {
 		status := &a.Running[i]
-		t := e.graph.Find(status.Run)
+		t := e.graph.FindTask(status.Run)
 		known := e.runs[t]
 		if known != nil && known.agent == at {
 			known.listedAt = e.now
--- a/internal/sched/drive/bench_test.go
+++ b/internal/sched/drive/bench_test.go
@@ -32,13 +32,13 @@
 	for _, agents := range []int{48, 490, 1800, 6900} {
 		b.Run(fmt.Sprintf("agents=%d", agents), func(b *testing.B) {
 			s := loadedSim(agents)
-			waiting := len(s.graph.Ready())
+			waiting := len(s.graph.SortedReadyStages())
 			b.ReportAllocs()
 			for b.Loop() {
 				s.now += simTick
 				b.StopTimer()
 				s.happen()
-				s.graph.Changed()
+				s.graph.OnChange()
 				b.StartTimer()
 				s.engine.Turn(s.now)
 			}
--- a/internal/sched/drive/crowd.go
+++ b/internal/sched/drive/crowd.go
@@ -26,7 +26,7 @@
 	switch {
 	case step.Opportunistic:
 		return r.fullShare() * float64(r.agent.record.CpuMillis)
-	case step.TailTargetMs > 0 && r.own.Known:
+	case step.TailTargetMs > 0 && r.own.Valid:
 		return float64(step.CpuMillis) * busy
 	default:
 		return expectedUse(step)
@@ -42,7 +42,7 @@
 	}
 	r.peakOf, r.peakAt = r.own.At, e.now
 	if e.on(SwingForeseen) {
-		r.peak = e.pressure.Peak(&r.own, e.now+placeAhead)
+		r.peak = e.pressure.PredictPeak(&r.own, e.now+placeAhead)
 	} else {
 		r.peak = e.pressure.Level(&r.own)
 	}
@@ -76,7 +76,7 @@
 func (e *Engine) crowding(at *agent) float64 {
 	sum := 0.0
 	for _, r := range at.ordered {
-		use := r.use(e.pressure.Expect(&r.own, e.now+paceAhead))
+		use := r.use(e.pressure.Predict(&r.own, e.now+paceAhead))
 		if r.task.Stage.Step.Opportunistic {
 			use *= float64(r.wantedPace) / fullPace
 		}
--- a/internal/sched/drive/ends.go
+++ b/internal/sched/drive/ends.go
@@ -23,7 +23,7 @@
 	var ends []*wire.RunEnd
 	var skipped []RunReport
 	for _, report := range a.Ended {
-		t := e.graph.Find(report.Run)
+		t := e.graph.FindTask(report.Run)
 		if known := at.runs[t]; known != nil {
 			known.listedAt = e.now
 		}
--- a/internal/sched/drive/engine.go
+++ b/internal/sched/drive/engine.go
@@ -142,13 +142,13 @@
 	}
 	options.OtherRackFactor = max(options.OtherRackFactor, 1)
 	e := &Engine{options: options, graph: options.Graph}
-	e.graph.Changed = func() { e.dirty = true }
-	e.graph.Touched = func(agent string) {
+	e.graph.OnChange = func() { e.dirty = true }
+	e.graph.OnAgentChange = func(agent string) {
 		if e.term != 0 {
 			e.touched[agent] = true
 		}
 	}
-	e.graph.Readied = func(s *graph.Stage) {
+	e.graph.OnStageReady = func(s *graph.Stage) {
 		if e.term != 0 {
 			e.fresh = append(e.fresh, s)
 		}
--- a/internal/sched/drive/follow.go
+++ b/internal/sched/drive/follow.go
@@ -80,7 +80,7 @@
 // their room is free at once.
 func (e *Engine) forgetEnded(ends []*wire.RunEnd) {
 	for _, end := range ends {
-		t := e.graph.Find(end.Id)
+		t := e.graph.FindTask(end.Id)
 		if r := e.runs[t]; r != nil && (t.Agent != r.agent.record.Id || t.Run != r.number) {
 			e.endRun(r)
 		}
--- a/internal/sched/drive/keep_test.go
+++ b/internal/sched/drive/keep_test.go
@@ -68,7 +68,7 @@
 }
 
 func weightOf(g *graph.Graph) float32 {
-	for _, p := range g.Learned().GetPairs() {
+	for _, p := range g.Estimates().GetPairs() {
 		if p.Standing == "standing" && p.Beside == "beside" {
 			return p.Weight
 		}
--- a/internal/sched/drive/pace_test.go
+++ b/internal/sched/drive/pace_test.go
@@ -43,7 +43,7 @@
 				task: task, agent: at, phase: phaseRunning, percent: 100, usage: target + 10, usageAt: e.now,
 				overSince: e.now - c.over,
 			})
-			e.pressure.Note(&at.runs[task].own, tails.Reading{Target: targetOf(stage.Step), At: e.now, Milliseconds: c.own})
+			e.pressure.Observe(&at.runs[task].own, tails.Reading{Target: targetOf(stage.Step), At: e.now, Milliseconds: c.own})
 			assert.Equal(t, e.longestOver(at) != nil, c.halts)
 		})
 	}
--- a/internal/sched/drive/place.go
+++ b/internal/sched/drive/place.go
@@ -102,7 +102,7 @@
 			}
 			continue
 		}
-		t, at := e.graph.Find(p.Id), e.agents[p.Agent]
+		t, at := e.graph.FindTask(p.Id), e.agents[p.Agent]
 		if t == nil || at == nil || t.Agent != p.Agent || t.Run != p.Id.Run {
 			continue
 		}
@@ -155,18 +155,18 @@
 			return true
 		}
 		m := f.best(t)
-		if t.OnLastTry() && !tries.takesLastTry() && (m == nil || !m.empty()) {
+		if t.OnFinalAttempt() && !tries.takesLastTry() && (m == nil || !m.empty()) {
 			continue
 		}
 		switch {
 		case m != nil:
 			delete(p.engine.clearing, t)
-			if t.OnLastTry() && !m.empty() {
+			if t.OnFinalAttempt() && !m.empty() {
 				tries.giveLastTry()
 			}
 			p.take(t, m, t.Run+1)
 			f.taken(m)
-		case t.OnLastTry():
+		case t.OnFinalAttempt():
 			if p.engine.on(KeepClear) {
 				p.keepClear(t, rooms)
 				tries.giveLastTry()
--- a/internal/sched/drive/promises_test.go
+++ b/internal/sched/drive/promises_test.go
@@ -51,7 +51,7 @@
 func (s *sim) noted(r drive.RunReport) {
 	if r.Outcome == wire.RunOutcome_RUN_OUTCOME_DONE {
 		s.doneNoted[taskKey(r.Run)] = true
-		t := s.graph.Find(r.Run)
+		t := s.graph.FindTask(r.Run)
 		s.check(t == nil || t.Done, "the end of %s is acknowledged before it is kept", taskKey(r.Run))
 	}
 	if r.Outcome == wire.RunOutcome_RUN_OUTCOME_FAILED && !s.steps[fmt.Sprintf("%s.%d", r.Run.Job, r.Run.Step)].Standing {
--- a/internal/sched/drive/rank.go
+++ b/internal/sched/drive/rank.go
@@ -179,9 +179,9 @@
 	factor := e.timeFactor(s)
 	objective := e.objective(s, q, factor)
 	age := wall.Sub(begin)
-	r := ranked{stage: s, priority: q.GetPriority(), begun: s.Job.Begun()}
-	r.first = s.Standing() && s.Ran() || s.OnLastTry()
-	left := time.Duration(float64(s.Longest) * factor)
+	r := ranked{stage: s, priority: q.GetPriority(), begun: s.Job.Started()}
+	r.first = s.Standing() && s.HasRun() || s.OnFinalAttempt()
+	left := time.Duration(float64(s.CriticalPath) * factor)
 	r.slack = objective - left - age
 	if r.slack < 0 {
 		r.prospect = late
@@ -200,7 +200,7 @@
 func (e *Engine) objective(s *graph.Stage, q *wire.Queue, factor float64) time.Duration {
 	var chain time.Duration
 	for _, first := range s.Job.Occurrences[s.Occurrence] {
-		chain = max(chain, first.Longest)
+		chain = max(chain, first.CriticalPath)
 	}
 	return time.Duration(float64(chain)*factor*max(q.GetStretch(), 1)) + q.GetTarget().AsDuration()
 }
--- a/internal/sched/drive/recall.go
+++ b/internal/sched/drive/recall.go
@@ -19,7 +19,7 @@
 // costs what the first seconds of a day cost: all pairs of images are tried again,
 // those that harm too.
 func (e *Engine) recall() {
-	e.saved = e.graph.Learned()
+	e.saved = e.graph.Estimates()
 	e.nextSave = e.now + saveInterval
 	if e.on(LearnedKept) && e.saved != nil {
 		e.pressure = tails.Restore(e.saved, e.now)
--- a/internal/sched/drive/register.go
+++ b/internal/sched/drive/register.go
@@ -98,7 +98,7 @@
 	}
 }
 
-func (e *Engine) free(id string) bool { return e.graph.Agent(id) == nil && !e.graph.Dropped(id) }
+func (e *Engine) free(id string) bool { return e.graph.Agent(id) == nil && !e.graph.AgentRemoved(id) }
 
 // laterID is the id of a process whose agent's own id is taken: the first one, or a
 // further one for a process that was given up and came back.
--- a/internal/sched/drive/report.go
+++ b/internal/sched/drive/report.go
@@ -34,7 +34,7 @@
 		done(err)
 		return
 	}
-	if record == nil || e.graph.Dropped(record.Id) {
+	if record == nil || e.graph.AgentRemoved(record.Id) {
 		e.noteOverlooked(report.Agent)
 		done(nil) // sent before it was given up; there is nothing to learn
 		return
@@ -127,7 +127,7 @@
 func (e *Engine) commitReport(command *wire.WorkCommand, done func(error)) {
 	e.options.Propose(&wire.Command{Body: &wire.Command_Work{Work: command}}, func(res state.Result, err error) {
 		e.dirty = true
-		if err == nil && errors.Is(res.Err, graph.ErrOtherIncarnation) {
+		if err == nil && errors.Is(res.Err, graph.ErrIncarnationMismatch) {
 			err = res.Err // it is to be told again, when the first one is known
 		}
 		done(err)
--- a/internal/sched/drive/risk.go
+++ b/internal/sched/drive/risk.go
@@ -60,7 +60,7 @@
 	if t.Suspect() && seenFor < startTime {
 		m.suspects++
 	}
-	if t.OnLastTry() && seenFor < tryTime(t) {
+	if t.OnFinalAttempt() && seenFor < tryTime(t) {
 		m.lastTry = true
 	}
 }
@@ -72,7 +72,7 @@
 	switch {
 	case !t.Suspect():
 		return 0
-	case t.OnLastTry() && m.suspects+m.fresh > 0:
+	case t.OnFinalAttempt() && m.suspects+m.fresh > 0:
 		return math.Inf(1)
 	default:
 		taken := 1 - m.cpu/max(m.capacity, 1)
--- a/internal/sched/drive/room.go
+++ b/internal/sched/drive/room.go
@@ -127,16 +127,16 @@
 		}
 		target := targetOf(r.task.Stage.Step)
 		own := usualBusy
-		if r.own.Known {
+		if r.own.Valid {
 			own = e.highest(r)
 		}
-		m.served = append(m.served, e.serves(target, own+e.pressure.Added(target.Image, beside)))
+		m.served = append(m.served, e.serves(target, own+e.pressure.Interference(target.Image, beside)))
 	}
 }
 
 // serves is a standing task as a pass sees it.
 func (e *Engine) serves(target tails.Target, busy float64) served {
-	return served{image: target.Image, expected: busy, limit: e.pressure.Busy(target, target.Milliseconds*goalShare)}
+	return served{image: target.Image, expected: busy, limit: e.pressure.Utilization(target, target.Milliseconds*goalShare)}
 }
 
 // disturbs is how much a task would add to the utilizations of the standing tasks on
--- a/internal/sched/drive/run.go
+++ b/internal/sched/drive/run.go
@@ -75,7 +75,7 @@
 	pacedAt    time.Duration // when the pace last changed
 	// earlierPace is what the pace was before that.
 	earlierPace int
-	own         tails.Own // load of a standing run
+	own         tails.Baseline // load of a standing run
 	// peak is what highest told at peakAt, by the reading of peakOf.
 	peak           float64
 	peakOf, peakAt time.Duration
@@ -235,7 +235,7 @@
 }
 
 func (e *Engine) runOf(r *agent, id *wire.RunId) *run {
-	t := e.graph.Find(id)
+	t := e.graph.FindTask(id)
 	known := e.runs[t]
 	if t == nil || known == nil || known.agent != r || known.number != id.Run {
 		return nil
--- a/internal/sched/drive/silence.go
+++ b/internal/sched/drive/silence.go
@@ -62,16 +62,16 @@
 }
 
 // silence is what is committed of an agent's silence, or nil.
-func (e *Engine) silence(at *agent) *graph.Silence {
+func (e *Engine) silence(at *agent) *graph.LeaseExpiry {
 	if registered := e.graph.Agent(at.record.Id); registered != nil {
-		return registered.Silence
+		return registered.LeaseExpiry
 	}
 	return nil
 }
 
 // lapsed tells whether every lease on a silent agent has surely run out.
 func (e *Engine) lapsed(at *agent) bool {
-	if e.silence(at).Over(e.now - lapseSlack) {
+	if e.silence(at).Expired(e.now - lapseSlack) {
 		return true
 	}
 	return e.now-at.answered > e.options.Lease && at.clock.lapsed(e.now, e.since, e.options.Lease)
--- a/internal/sched/drive/sim_test.go
+++ b/internal/sched/drive/sim_test.go
@@ -140,7 +140,7 @@
 		crashing:  map[string]time.Duration{}, crashes: map[string]int{}, failedRuns: map[string]int{}, refusing: map[string]bool{}, logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		failures: map[string]int{}, issued: map[string]time.Duration{}, cancelled: map[string]time.Duration{}, completed: map[string]bool{},
 	}
-	s.graph.Boot = func() time.Duration { return s.now }
+	s.graph.BootClock = func() time.Duration { return s.now }
 	s.tailOf = func(_ *modelAgent, run *modelRun) int { return int(run.step.TailTargetMs) / 2 }
 	queue := &wire.Queue{Name: "q", Host: "h", PathPrefix: "/q/", Pool: "p", MaxAttempts: 3, Stretch: 2}
 	if f.advice {
@@ -262,7 +262,7 @@
 	// What is committed comes from the log, not from the proposer's memory.
 	command := proto.Clone(p.command).(*wire.Command)
 	res := s.commit(command.GetWork())
-	p.done(state.Result{Err: res.Err, Placed: res.Placed}, nil)
+	p.done(state.Result{Err: res.Err, Placed: res.PlacementErrors}, nil)
 }
 
 // carry takes an order to its agent: at once, seconds late, or with its
--- a/internal/sched/drive/watch.go
+++ b/internal/sched/drive/watch.go
@@ -119,8 +119,8 @@
 func (e *Engine) mayBeOthers(r *run) bool {
 	step := r.task.Stage.Step
 	target := targetOf(step)
-	doubt := ownDoubt + e.pressure.Doubt(step.Image, r.agent.beside)
-	return e.pressure.Level(&r.own) < e.pressure.Busy(target, target.Milliseconds)+doubt
+	doubt := ownDoubt + e.pressure.Uncertainty(step.Image, r.agent.beside)
+	return e.pressure.Level(&r.own) < e.pressure.Utilization(target, target.Milliseconds)+doubt
 }
 
 // haltBeside stops all opportunistic work beside a standing run for as long as it
@@ -156,7 +156,7 @@
 		if !e.tellsTail(r) {
 			continue
 		}
-		over := min(e.excess(r, overShare), e.pressure.Added(r.task.Stage.Step.Image, at.beside)-leastAdds)
+		over := min(e.excess(r, overShare), e.pressure.Interference(r.task.Stage.Step.Image, at.beside)-leastAdds)
 		if over > worstOver {
 			worst, worstOver = r, over
 		}
@@ -168,8 +168,8 @@
 // that at a share of its target, when a change of pace made now shows.
 func (e *Engine) excess(r *run, share float64) float64 {
 	target := targetOf(r.task.Stage.Step)
-	busy := e.pressure.Expect(&r.own, e.now+paceAhead) + e.pressure.Added(target.Image, r.agent.beside)
-	return busy - e.pressure.Busy(target, target.Milliseconds*share)
+	busy := e.pressure.Predict(&r.own, e.now+paceAhead) + e.pressure.Interference(target.Image, r.agent.beside)
+	return busy - e.pressure.Utilization(target, target.Milliseconds*share)
 }
 
 func targetOf(step *wire.Step) tails.Target {
@@ -191,7 +191,7 @@
 
 // learnTails learns from the readings of an agent's standing runs.
 func (e *Engine) learnTails(at *agent) {
-	if e.now-at.besideAt < tails.MinReadingGap {
+	if e.now-at.besideAt < tails.MinReadingInterval {
 		return
 	}
 	latest, beside, unsure := at.besideSince(e.now)
@@ -255,9 +255,9 @@
 // with the one before only if both were taken with those of its agent.
 func (e *Engine) learnTail(r *run, beside, unsure tails.Load) {
 	if r.own.At != r.agent.besideAt {
-		r.own.Known = false
+		r.own.Valid = false
 	}
-	e.pressure.Note(&r.own, tails.Reading{
-		Target: targetOf(r.task.Stage.Step), At: e.now, Milliseconds: float64(r.usage), Beside: beside, Unsure: unsure,
+	e.pressure.Observe(&r.own, tails.Reading{
+		Target: targetOf(r.task.Stage.Step), At: e.now, Milliseconds: float64(r.usage), Colocated: beside, Uncertain: unsure,
 	})
 }
--- a/internal/sched/lease/table.go
+++ b/internal/sched/lease/table.go
@@ -16,9 +16,9 @@
 
 const (
 	// Drift is the part by which two clocks' rates may differ.
-	Drift = 0.02
+	MaxClockDrift = 0.02
 	// Slack is added for timers that fire late.
-	Slack = 100 * time.Millisecond
+	TimerSlack = 100 * time.Millisecond
 )
 
 type (
@@ -58,7 +58,7 @@
 // Expect notes that an incarnation was registered, and gives it the time of a
 // lease to ask for its first one. Without that it would count as out at once,
 // be lost before its next report, register anew, and so on for ever.
-func (t *Table) Expect(worker, incarnation string, now time.Time) {
+func (t *Table) Register(worker, incarnation string, now time.Time) {
 	if g, ok := t.grants[worker]; ok && g.incarnation == incarnation {
 		return
 	}
@@ -66,7 +66,7 @@
 }
 
 // Out tells whether every lease of the incarnation has surely run out.
-func (t *Table) Out(worker, incarnation string, now time.Time) bool {
+func (t *Table) Expired(worker, incarnation string, now time.Time) bool {
 	if now.Before(t.settled) {
 		return false
 	}
@@ -75,16 +75,16 @@
 }
 
 // Held tells whether the incarnation was granted a lease that may still run.
-func (t *Table) Held(worker, incarnation string, now time.Time) bool {
+func (t *Table) Active(worker, incarnation string, now time.Time) bool {
 	g, ok := t.grants[worker]
 	return ok && !g.expected && g.incarnation == incarnation && now.Before(g.until)
 }
 
 // Forget drops what is known of a worker that was declared lost.
-func (t *Table) Forget(worker string) {
+func (t *Table) Remove(worker string) {
 	delete(t.grants, worker)
 }
 
 func stretched(d time.Duration) time.Duration {
-	return d + time.Duration(float64(d)*Drift) + Slack
+	return d + time.Duration(float64(d)*MaxClockDrift) + TimerSlack
 }
--- a/internal/sched/lease/table_test.go
+++ b/internal/sched/lease/table_test.go
@@ -26,7 +26,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		start := time.Unix(1000, 0)
 		now := start
-		rate := 1 - lease.Drift*rapid.Float64Range(0, 0.9).Draw(rt, "slow clock")
+		rate := 1 - lease.MaxClockDrift*rapid.Float64Range(0, 0.9).Draw(rt, "slow clock")
 		var leaseEnd time.Time // by real time
 		table := lease.NewTable(now, duration, overlap)
 		type report struct{ sent time.Time }
@@ -60,7 +60,7 @@
 				table = lease.NewTable(now, duration, overlap)
 				confirmed = now
 			}
-			if table.Out("w", "a", now) {
+			if table.Expired("w", "a", now) {
 				assert.Assert(rt, !now.Before(leaseEnd), "called out %v early", leaseEnd.Sub(now))
 			}
 		}
@@ -71,17 +71,17 @@
 	start := time.Unix(1000, 0)
 	table := lease.NewTable(start, duration, overlap)
 	t.Run("a new leader waits for grants it doesn't know of", func(t *testing.T) {
-		assert.Assert(t, !table.Out("w", "a", start.Add(duration+overlap)))
-		assert.Assert(t, table.Out("w", "a", start.Add(2*(duration+overlap))))
+		assert.Assert(t, !table.Expired("w", "a", start.Add(duration+overlap)))
+		assert.Assert(t, table.Expired("w", "a", start.Add(2*(duration+overlap))))
 	})
 	later := start.Add(time.Minute)
 	t.Run("a grant holds", func(t *testing.T) {
 		assert.Equal(t, table.Grant("w", "a", later), duration)
-		assert.Assert(t, table.Held("w", "a", later.Add(duration)))
-		assert.Assert(t, !table.Out("w", "a", later.Add(duration)))
-		assert.Assert(t, table.Out("w", "a", later.Add(2*duration)))
+		assert.Assert(t, table.Active("w", "a", later.Add(duration)))
+		assert.Assert(t, !table.Expired("w", "a", later.Add(duration)))
+		assert.Assert(t, table.Expired("w", "a", later.Add(2*duration)))
 	})
 	t.Run("another incarnation has none", func(t *testing.T) {
-		assert.Assert(t, !table.Held("w", "b", later))
+		assert.Assert(t, !table.Active("w", "b", later))
 	})
 }
--- a/internal/sched/plan/bench_test.go
+++ b/internal/sched/plan/bench_test.go
@@ -48,11 +48,11 @@
 	b.apply(&wire.Command{Body: &wire.Command_ApplyConfiguration{ApplyConfiguration: &wire.ApplyConfigurationRequest{OperationId: "op", Configuration: c}}})
 	b.planner = plan.New(plan.Options{
 		Machine: b.machine, Lease: time.Hour, Overlap: time.Hour,
-		Propose:   func(c *wire.Command, done func(state.Result, error)) { done(b.apply(c), nil) },
-		Leads:     func() (time.Time, bool) { return time.Unix(1, 0), true },
-		Confirmed: func() time.Time { return b.now },
-		Term:      func() uint64 { return 1 },
-		Logger:    slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Propose:     func(c *wire.Command, done func(state.Result, error)) { done(b.apply(c), nil) },
+		IsLeader:    func() (time.Time, bool) { return time.Unix(1, 0), true },
+		ConfirmedAt: func() time.Time { return b.now },
+		Term:        func() uint64 { return 1 },
+		Logger:      slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 	for i := range workers {
 		b.report(i, 1)
@@ -73,7 +73,7 @@
 }
 
 func (b *bench) report(i int, sequence uint64) {
-	b.planner.Report(b.now, &wire.AttendRequest{Sequence: sequence, Worker: &wire.Worker{
+	b.planner.HandleReport(b.now, &wire.AttendRequest{Sequence: sequence, Worker: &wire.Worker{
 		WorkerId: fmt.Sprint("worker-", i), Incarnation: "a", Rack: fmt.Sprint("rack-", i/8), FailureDomain: fmt.Sprint("fd-", i%16),
 		Capacity: &wire.Resources{MilliProcessors: 64000, MemoryBytes: 250 << 30, Accelerators: 1},
 	}}, func(*wire.WorkerAnswer) {})
@@ -86,12 +86,12 @@
 	}}}})
 	b.jobs++
 	b.running = append(b.running, id)
-	b.planner.Changed()
+	b.planner.MarkChanged()
 }
 
 func (b *bench) turn() {
 	b.now = b.now.Add(time.Second)
-	b.planner.Turn(b.now)
+	b.planner.Tick(b.now)
 }
 
 func (b *bench) finishOldest() {
--- a/internal/sched/plan/place.go
+++ b/internal/sched/plan/place.go
@@ -38,8 +38,8 @@
 		Worker *state.Worker
 		// Free is what is left before the job is placed.
 		Free, Capacity, Need state.Amount
-		// FailedHere tells that an earlier attempt failed on this worker.
-		FailedHere bool
+		// FailedOnWorker tells that an earlier attempt failed on this worker.
+		FailedOnWorker bool
 		// Siblings is the number of the same account's standing tasks in the
 		// worker's failure domain, for standing jobs.
 		Siblings int
@@ -58,7 +58,7 @@
 func Spread(c Candidate) float64 {
 	left := c.Free.WithOut(c.Need)
 	score := 1 - c.Capacity.WithOut(left).DominantShare(c.Capacity)
-	if c.FailedHere {
+	if c.FailedOnWorker {
 		score -= 10
 	}
 	return score - float64(c.Siblings)
@@ -116,7 +116,7 @@
 		id := w.Record.WorkerId
 		capacity := state.AmountOf(w.Record.Capacity)
 		u.total = u.total.With(capacity)
-		if w.Quarantine != "" || p.options.Machine.Drained(w) || p.losing[id] || !p.leases.Held(id, w.Record.Incarnation, now) {
+		if w.Quarantine != "" || p.options.Machine.Drained(w) || p.losing[id] || !p.leases.Active(id, w.Record.Incarnation, now) {
 			continue
 		}
 		u.seats = append(u.seats, seat{worker: w, free: p.free(w), capacity: capacity, suspect: hasSuspect(w)})
@@ -226,8 +226,8 @@
 		seen++
 		score := p.options.Score(Candidate{
 			Job: j, Worker: s.worker, Free: s.free, Need: need, Capacity: s.capacity,
-			FailedHere: len(failedOn) > 0 && failedOn[s.worker.Record.WorkerId],
-			Siblings:   siblings[s.worker.Record.FailureDomain],
+			FailedOnWorker: len(failedOn) > 0 && failedOn[s.worker.Record.WorkerId],
+			Siblings:       siblings[s.worker.Record.FailureDomain],
 		})
 		if best == nil || score > bestScore {
 			best, bestScore = s, score
--- a/internal/sched/plan/plan_test.go
+++ b/internal/sched/plan/plan_test.go
@@ -109,7 +109,7 @@
 			r := sound()
 			c.change(r)
 			err := plan.CheckReport(r)
-			assert.ErrorIs(t, err, plan.ErrImpossible)
+			assert.ErrorIs(t, err, plan.ErrInvalidReport)
 			assert.ErrorContains(t, err, c.field)
 		})
 	}
--- a/internal/sched/plan/planner.go
+++ b/internal/sched/plan/planner.go
@@ -57,9 +57,9 @@
 		Lease, Overlap time.Duration
 		Propose        func(*wire.Command, func(state.Result, error))
 		// Leads tells whether and since when this replica leads.
-		Leads func() (since time.Time, ok bool)
+		IsLeader func() (since time.Time, ok bool)
 		// Confirmed is the last moment at which it surely led.
-		Confirmed func() time.Time
+		ConfirmedAt func() time.Time
 		// Term is the leader's term, by which workers know old answers.
 		Term func() uint64
 		// Score ranks a worker for a job, higher is better. Spread is used
@@ -126,7 +126,7 @@
 }
 
 // Turn does what is due. It is called on the control loop, often.
-func (p *Planner) Turn(now time.Time) {
+func (p *Planner) Tick(now time.Time) {
 	if !p.leading() {
 		return
 	}
@@ -151,7 +151,7 @@
 // leading drops the soft state when leadership was gained anew: what another
 // leader granted or proposed meanwhile isn't in it.
 func (p *Planner) leading() bool {
-	since, ok := p.options.Leads()
+	since, ok := p.options.IsLeader()
 	if !ok {
 		return false
 	}
@@ -162,11 +162,11 @@
 }
 
 // Changed tells that a job was submitted, ended or cancelled.
-func (p *Planner) Changed() { p.dirty = true }
+func (p *Planner) MarkChanged() { p.dirty = true }
 
 // Attending tells whether the worker holds a lease.
-func (p *Planner) Attending(worker, incarnation string, now time.Time) bool {
-	return p.leases.Held(worker, incarnation, now)
+func (p *Planner) HoldsLease(worker, incarnation string, now time.Time) bool {
+	return p.leases.Active(worker, incarnation, now)
 }
 
 // declareLost gives up incarnations whose leases have surely run out, so that
@@ -174,7 +174,7 @@
 func (p *Planner) declareLost(now time.Time) {
 	for id, w := range p.options.Machine.Workers() {
 		incarnation := w.Record.Incarnation
-		if p.losing[id] || !p.leases.Out(id, incarnation, now) {
+		if p.losing[id] || !p.leases.Expired(id, incarnation, now) {
 			continue
 		}
 		p.lose(id, incarnation)
@@ -200,7 +200,7 @@
 			return
 		}
 		lostTotal.Inc()
-		p.leases.Forget(id)
+		p.leases.Remove(id)
 		if a := p.workers[id]; a != nil && a.report.Worker.Incarnation == incarnation {
 			delete(p.workers, id)
 		}
--- a/internal/sched/plan/report.go
+++ b/internal/sched/plan/report.go
@@ -22,8 +22,8 @@
 	maxAccelerators    = 1024
 )
 
-// ErrImpossible is wrapped by every refusal of a report.
-var ErrImpossible = errors.New("impossible worker report")
+// ErrInvalidReport is wrapped by every refusal of a report.
+var ErrInvalidReport = errors.New("impossible worker report")
 
 // CheckReport refuses a report that no sound worker sends, and names the
 // field. One worker's garbage must not reach the sums of others.
@@ -32,19 +32,19 @@
 	c := w.GetCapacity()
 	switch {
 	case w.GetWorkerId() == "" || len(w.WorkerId) > maxName:
-		return fmt.Errorf("%w: Worker.WorkerId must have 1 to %d bytes", ErrImpossible, maxName)
+		return fmt.Errorf("%w: Worker.WorkerId must have 1 to %d bytes", ErrInvalidReport, maxName)
 	case w.Incarnation == "" || len(w.Incarnation) > maxName:
-		return fmt.Errorf("%w: Worker.Incarnation must have 1 to %d bytes", ErrImpossible, maxName)
+		return fmt.Errorf("%w: Worker.Incarnation must have 1 to %d bytes", ErrInvalidReport, maxName)
 	case r.Sequence == 0:
-		return fmt.Errorf("%w: Sequence must be at least 1", ErrImpossible)
+		return fmt.Errorf("%w: Sequence must be at least 1", ErrInvalidReport)
 	case c.GetMilliProcessors() == 0 || c.MilliProcessors > maxMilliProcessors:
-		return fmt.Errorf("%w: Worker.Capacity.MilliProcessors must be 1 to %d", ErrImpossible, maxMilliProcessors)
+		return fmt.Errorf("%w: Worker.Capacity.MilliProcessors must be 1 to %d", ErrInvalidReport, maxMilliProcessors)
 	case c.MemoryBytes == 0 || c.MemoryBytes > maxMemoryBytes:
-		return fmt.Errorf("%w: Worker.Capacity.MemoryBytes must be 1 to %d", ErrImpossible, int64(maxMemoryBytes))
+		return fmt.Errorf("%w: Worker.Capacity.MemoryBytes must be 1 to %d", ErrInvalidReport, int64(maxMemoryBytes))
 	case c.Accelerators > maxAccelerators:
-		return fmt.Errorf("%w: Worker.Capacity.Accelerators must be at most %d", ErrImpossible, maxAccelerators)
+		return fmt.Errorf("%w: Worker.Capacity.Accelerators must be at most %d", ErrInvalidReport, maxAccelerators)
 	case len(r.Tasks) > maxTasksReported:
-		return fmt.Errorf("%w: Tasks may hold %d", ErrImpossible, maxTasksReported)
+		return fmt.Errorf("%w: Tasks may hold %d", ErrInvalidReport, maxTasksReported)
 	}
 	return checkTasks(r.Tasks)
 }
@@ -52,14 +52,14 @@
 func checkTasks(tasks []*wire.TaskReport) error {
 	for i, t := range tasks {
 		if t.JobId == "" || t.Attempt == 0 || t.State == wire.TaskState_TASK_STATE_UNSPECIFIED {
-			return fmt.Errorf("%w: Tasks[%d] lacks JobId, Attempt or State", ErrImpossible, i)
+			return fmt.Errorf("%w: Tasks[%d] lacks JobId, Attempt or State", ErrInvalidReport, i)
 		}
 	}
 	return nil
 }
 
 // Report hears one worker. Reply sends answers to it, now and later.
-func (p *Planner) Report(now time.Time, r *wire.AttendRequest, reply func(*wire.WorkerAnswer)) {
+func (p *Planner) HandleReport(now time.Time, r *wire.AttendRequest, reply func(*wire.WorkerAnswer)) {
 	if !p.leading() {
 		return
 	}
@@ -96,7 +96,7 @@
 		return !p.losing[w.WorkerId]
 	}
 	if known != nil {
-		if !p.losing[w.WorkerId] && p.leases.Out(w.WorkerId, known.Record.Incarnation, now) {
+		if !p.losing[w.WorkerId] && p.leases.Expired(w.WorkerId, known.Record.Incarnation, now) {
 			p.lose(w.WorkerId, known.Record.Incarnation)
 		}
 		return false
@@ -109,7 +109,7 @@
 
 func (p *Planner) register(now time.Time, a *attendance) {
 	a.registering = true
-	p.leases.Expect(a.report.Worker.WorkerId, a.report.Worker.Incarnation, now)
+	p.leases.Register(a.report.Worker.WorkerId, a.report.Worker.Incarnation, now)
 	command := &wire.Command{Body: &wire.Command_RegisterWorker{RegisterWorker: a.report.Worker}}
 	p.options.Propose(command, func(r state.Result, err error) {
 		a.registering = false
@@ -126,12 +126,12 @@
 // was frozen or cut off for longer than an election timeout may have a
 // successor, which counts lost workers from its own start.
 func (p *Planner) grant(now time.Time, a *attendance) *durationpb.Duration {
-	if now.Sub(p.options.Confirmed()) >= p.options.Overlap {
+	if now.Sub(p.options.ConfirmedAt()) >= p.options.Overlap {
 		leasesWithheld.Inc()
 		return nil
 	}
 	w := a.report.Worker
-	first := !p.leases.Held(w.WorkerId, w.Incarnation, now)
+	first := !p.leases.Active(w.WorkerId, w.Incarnation, now)
 	d := p.leases.Grant(w.WorkerId, w.Incarnation, now)
 	if first {
 		p.dirty = true
--- a/internal/sched/plan/sim_test.go
+++ b/internal/sched/plan/sim_test.go
@@ -118,10 +118,10 @@
 		Propose: func(c *wire.Command, done func(state.Result, error)) {
 			s.commits = append(s.commits, simCommit{c, done, l.term})
 		},
-		Leads:     func() (time.Time, bool) { return l.since, true },
-		Confirmed: func() time.Time { return l.confirmed },
-		Term:      func() uint64 { return l.term },
-		Logger:    slog.New(slog.NewTextHandler(io.Discard, nil)),
+		IsLeader:    func() (time.Time, bool) { return l.since, true },
+		ConfirmedAt: func() time.Time { return l.confirmed },
+		Term:        func() uint64 { return l.term },
+		Logger:      slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 	s.leaders = append(s.leaders, l)
 }
@@ -146,7 +146,7 @@
 	s.machine.Apply(&wire.Command{At: timestamppb.New(s.now), Body: &wire.Command_SubmitJob{SubmitJob: &wire.SubmitJob{
 		JobId: id, IdempotencyKey: id, Spec: &wire.JobSpec{ClientAccount: account, JobKind: "k", Urgent: urgent},
 	}}})
-	s.leader().planner.Changed()
+	s.leader().planner.MarkChanged()
 }
 
 func (s *sim) run(d time.Duration) {
@@ -155,7 +155,7 @@
 		s.deliver()
 		l := s.leader()
 		l.confirmed = s.now
-		l.planner.Turn(s.now)
+		l.planner.Tick(s.now)
 		for _, w := range s.workers {
 			s.work(w)
 		}
@@ -286,7 +286,7 @@
 	}
 	to := w.attached
 	s.post(func() {
-		to.planner.Report(s.now, r, func(a *wire.WorkerAnswer) { s.post(func() { s.hear(w, a) }) })
+		to.planner.HandleReport(s.now, r, func(a *wire.WorkerAnswer) { s.post(func() { s.hear(w, a) }) })
 	})
 }
 
--- a/internal/sched/tails/save.go
+++ b/internal/sched/tails/save.go
@@ -12,7 +12,7 @@
 // Save returns what is known, in an order of its own.
 func (m *Model) Save() *wire.Learned {
 	saved := &wire.Learned{Swing: &wire.LearnedSwing{
-		Samples: m.Swing.samples, Sum: m.Swing.sum, Squares: m.Swing.squares, Products: m.Swing.products, LagSeconds: m.Swing.lagSeconds,
+		Samples: m.Variation.samples, Sum: m.Variation.sum, Squares: m.Variation.squares, Products: m.Variation.products, LagSeconds: m.Variation.lagSeconds,
 	}}
 	for of, known := range m.weights {
 		saved.Pairs = append(saved.Pairs, &wire.LearnedPair{
@@ -37,7 +37,7 @@
 func Restore(saved *wire.Learned, now time.Duration) Model {
 	m := Model{weights: map[pair]estimate{}, floors: map[string]float64{}}
 	if s := saved.GetSwing(); s != nil {
-		m.Swing = Swing{samples: s.Samples, sum: s.Sum, squares: s.Squares, products: s.Products, lagSeconds: s.LagSeconds}
+		m.Variation = Variation{samples: s.Samples, sum: s.Sum, squares: s.Squares, products: s.Products, lagSeconds: s.LagSeconds}
 	}
 	for _, p := range saved.GetPairs() {
 		m.weights[pair{p.Standing, p.Beside}] = estimate{weight: float64(p.Weight), variance: float64(p.Variance), at: now}
--- a/internal/sched/tails/swing.go
+++ b/internal/sched/tails/swing.go
@@ -31,7 +31,7 @@
 // a sine around one mean, with one frequency for all and an amplitude and phase of
 // its own. With it, a load's level and trend tell where it will be seconds ahead. The
 // zero value knows what was measured before.
-type Swing struct {
+type Variation struct {
 	samples    float64
 	sum        float64 // of levels
 	squares    float64 // of levels' distances from the mean
@@ -40,12 +40,12 @@
 }
 
 // Mean is the mean of own loads.
-func (s *Swing) Mean() float64 {
+func (s *Variation) Mean() float64 {
 	return (s.sum + firstMean*firstSamples) / (s.samples + firstSamples)
 }
 
 // Speed is how fast own loads swing, in radians a second.
-func (s *Swing) Speed() float64 {
+func (s *Variation) AngularFrequency() float64 {
 	lag := (s.lagSeconds + swingLag.Seconds()*firstSamples) / (s.samples + firstSamples)
 	products := s.products + firstSpread*firstSamples*math.Cos(firstSpeed*swingLag.Seconds())
 	squares := s.squares + firstSpread*firstSamples
@@ -53,7 +53,7 @@
 }
 
 // note takes two levels of a run and the time between them.
-func (s *Swing) note(earlier, later float64, lag time.Duration) {
+func (s *Variation) note(earlier, later float64, lag time.Duration) {
 	if s.samples > maxSamples {
 		s.samples, s.sum, s.squares = s.samples/2, s.sum/2, s.squares/2
 		s.products, s.lagSeconds = s.products/2, s.lagSeconds/2
@@ -67,16 +67,16 @@
 }
 
 // ahead is where a load at a level with a trend, a second, will be.
-func (s *Swing) ahead(level, trend float64, by time.Duration) (float64, float64) {
-	mean, speed := s.Mean(), s.Speed()
+func (s *Variation) ahead(level, trend float64, by time.Duration) (float64, float64) {
+	mean, speed := s.Mean(), s.AngularFrequency()
 	x, v := level-mean, trend/speed
 	sin, cos := math.Sincos(speed * by.Seconds())
 	return mean + x*cos + v*sin, (v*cos - x*sin) * speed
 }
 
 // peak is the highest that a load at a level with a trend will be within a time.
-func (s *Swing) peak(level, trend float64, within time.Duration) float64 {
-	mean, speed := s.Mean(), s.Speed()
+func (s *Variation) peak(level, trend float64, within time.Duration) float64 {
+	mean, speed := s.Mean(), s.AngularFrequency()
 	x, v := level-mean, trend/speed
 	untilTop := math.Atan2(v, x) / speed
 	if untilTop > 0 && untilTop < within.Seconds() {
--- a/internal/sched/tails/tails.go
+++ b/internal/sched/tails/tails.go
@@ -72,9 +72,9 @@
 	// that add nothing, half were taken for harmful.
 	Model struct {
 		// Swing is how standing tasks' own loads swing.
-		Swing   Swing
-		weights map[pair]estimate
-		floors  map[string]float64 // lowest tails told, by standing image
+		Variation Variation
+		weights   map[pair]estimate
+		floors    map[string]float64 // lowest tails told, by standing image
 	}
 
 	// Load is the share of an agent's processors in use, by image.
@@ -98,7 +98,7 @@
 }
 
 // Added is what a load adds to the utilization of a standing task.
-func (m *Model) Added(standing string, beside Load) float64 {
+func (m *Model) Interference(standing string, beside Load) float64 {
 	sum := 0.0
 	for image, share := range beside.sorted() {
 		sum += m.Weight(standing, image) * share
@@ -107,7 +107,7 @@
 }
 
 // Doubt is how far Added may be off, by the variances of the weights.
-func (m *Model) Doubt(standing string, beside Load) float64 {
+func (m *Model) Uncertainty(standing string, beside Load) float64 {
 	sum := 0.0
 	for image, share := range beside.sorted() {
 		variance := firstVariance
@@ -121,7 +121,7 @@
 
 // Learn takes what a utilization is off by, with the variance of its reading,
 // after a change of the load beside it.
-func (m *Model) Learn(standing string, now time.Duration, change Load, miss, variance float64) {
+func (m *Model) UpdateWeights(standing string, now time.Duration, change Load, miss, variance float64) {
 	if m.weights == nil || len(m.weights) > maxPairs {
 		m.weights = map[pair]estimate{}
 	}
@@ -172,7 +172,7 @@
 }
 
 // After is the load that came since an earlier one; less where it went.
-func (l Load) After(earlier Load) Load {
+func (l Load) Sub(earlier Load) Load {
 	change := Load{}
 	for image, share := range l {
 		if d := share - earlier[image]; d != 0 {
@@ -211,7 +211,7 @@
 }
 
 // Busy is the utilization at which a standing task has a tail.
-func (m *Model) Busy(t Target, milliseconds float64) float64 {
+func (m *Model) Utilization(t Target, milliseconds float64) float64 {
 	base := m.base(t)
 	return min(1-base/max(milliseconds, base), maxBusy)
 }
--- a/internal/sched/tails/tails_test.go
+++ b/internal/sched/tails/tails_test.go
@@ -31,7 +31,7 @@
 	now    time.Duration
 	told   float64 // smoothed tail
 	model  *Model
-	run    Own
+	run    Baseline
 	beside Load
 }
 
@@ -54,7 +54,7 @@
 		s.told = s.told*kept + 25/(1-min(busy, maxBusy))*(1-kept)
 	}
 	told := math.Round(s.told * (1 + toldNoise*s.random.NormFloat64()))
-	s.model.Note(&s.run, Reading{Target: target, At: s.now, Milliseconds: told, Beside: s.beside})
+	s.model.Observe(&s.run, Reading{Target: target, At: s.now, Milliseconds: told, Colocated: s.beside})
 	s.change()
 }
 
@@ -123,16 +123,16 @@
 						continue
 					}
 					n++
-					off += math.Abs(learned.Expect(&r.run, r.now+ahead) - r.ownAt(r.now+ahead))
+					off += math.Abs(learned.Predict(&r.run, r.now+ahead) - r.ownAt(r.now+ahead))
 					highest := 0.0
 					for d := time.Duration(0); d <= ahead; d += modelTick {
 						highest = max(highest, r.ownAt(r.now+d))
 					}
-					offPeak += math.Abs(learned.Peak(&r.run, r.now+ahead) - highest)
+					offPeak += math.Abs(learned.PredictPeak(&r.run, r.now+ahead) - highest)
 				}
 			}
 			speed := 2 * math.Pi / period.Seconds()
-			assert.Assert(t, math.Abs(learned.Swing.Speed()/speed-1) < 0.15, "%.3f radians a second, not %.3f", learned.Swing.Speed(), speed)
+			assert.Assert(t, math.Abs(learned.Variation.AngularFrequency()/speed-1) < 0.15, "%.3f radians a second, not %.3f", learned.Variation.AngularFrequency(), speed)
 			assert.Assert(t, off/n < 0.05, "off by %.3f two seconds ahead", off/n)
 			assert.Assert(t, offPeak/n < 0.05, "the peak is off by %.3f", offPeak/n)
 		})
@@ -143,24 +143,24 @@
 // tails are smoothed and go on to tell of it.
 func TestSmoothingIsUndone(t *testing.T) {
 	m := &Model{floors: map[string]float64{target.Image: 25 / (1 - leastBusy)}}
-	o := &Own{Known: true, At: time.Second, told: 600, image: target.Image}
+	o := &Baseline{Valid: true, At: time.Second, told: 600, image: target.Image}
 	kept := math.Exp(-float64(readingEvery) / float64(toldOver))
 	told := 600*kept + 50*(1-kept)
 	busy, _ := m.read(o, Reading{Target: target, At: time.Second + readingEvery, Milliseconds: told})
 	assert.Assert(t, told > 2*target.Milliseconds*0.95, "%v", told)
-	assert.Assert(t, math.Abs(busy-m.Busy(target, 50)) < 0.01, "%v", busy)
+	assert.Assert(t, math.Abs(busy-m.Utilization(target, 50)) < 0.01, "%v", busy)
 }
 
 // After a pause in its readings a run's trend is unknown, and nothing is learned
 // from what changed meanwhile.
 func TestPauseEndsTheTrend(t *testing.T) {
-	m, o := &Model{}, &Own{}
-	m.Note(o, Reading{Target: target, At: time.Second, Milliseconds: 60})
-	m.Note(o, Reading{Target: target, At: 1300 * time.Millisecond, Milliseconds: 80})
+	m, o := &Model{}, &Baseline{}
+	m.Observe(o, Reading{Target: target, At: time.Second, Milliseconds: 60})
+	m.Observe(o, Reading{Target: target, At: 1300 * time.Millisecond, Milliseconds: 80})
 	assert.Assert(t, o.trend > 0)
 	later := 1300*time.Millisecond + maxReadingGap + time.Millisecond
-	assert.Assert(t, !o.Follows(later))
-	m.Note(o, Reading{Target: target, At: later, Milliseconds: 50, Beside: Load{"image": 0.2}})
+	assert.Assert(t, !o.Comparable(later))
+	m.Observe(o, Reading{Target: target, At: later, Milliseconds: 50, Colocated: Load{"image": 0.2}})
 	assert.Equal(t, o.trend, 0.0)
 	assert.Equal(t, len(m.weights), 0)
 }
@@ -168,18 +168,18 @@
 // What the weights were thought to be when a level was worked out doesn't stay in
 // it once they are known better.
 func TestLevelFollowsTheWeights(t *testing.T) {
-	m, o := &Model{}, &Own{}
+	m, o := &Model{}, &Baseline{}
 	beside := Load{"image": 0.2}
-	m.Note(o, Reading{Target: target, At: time.Second, Milliseconds: 100, Beside: beside})
-	before := m.Level(o) + m.Added(target.Image, beside)
-	m.Learn(target.Image, time.Second, beside, 0.2, 0.0004)
+	m.Observe(o, Reading{Target: target, At: time.Second, Milliseconds: 100, Colocated: beside})
+	before := m.Level(o) + m.Interference(target.Image, beside)
+	m.UpdateWeights(target.Image, time.Second, beside, 0.2, 0.0004)
 	assert.Assert(t, m.Weight(target.Image, "image") > firstWeight)
-	assert.Assert(t, math.Abs(m.Level(o)+m.Added(target.Image, beside)-before) < 1e-9)
+	assert.Assert(t, math.Abs(m.Level(o)+m.Interference(target.Image, beside)-before) < 1e-9)
 }
 
 // The change of a load names what came, what went and nothing else.
 func TestLoadAfterAnother(t *testing.T) {
-	got := Load{"came": 0.2, "stayed": 0.1, "grew": 0.3}.After(Load{"went": 0.4, "stayed": 0.1, "grew": 0.25})
+	got := Load{"came": 0.2, "stayed": 0.1, "grew": 0.3}.Sub(Load{"went": 0.4, "stayed": 0.1, "grew": 0.25})
 	assert.Equal(t, len(got), 3)
 	want := Load{"came": 0.2, "went": -0.4, "grew": 0.05}
 	for image, want := range want {
@@ -192,7 +192,7 @@
 func TestOldWeightsAreLearnedAnew(t *testing.T) {
 	p := &Model{}
 	for i := range 50 {
-		p.Learn("standing", time.Duration(i)*readingEvery, Load{"image": 0.2}, 0, 0.0005)
+		p.UpdateWeights("standing", time.Duration(i)*readingEvery, Load{"image": 0.2}, 0, 0.0005)
 	}
 	sure := p.weights[pair{"standing", "image"}].variance
 	old := p.aged("standing", "image", time.Hour).variance
@@ -206,9 +206,9 @@
 func TestOneSurpriseDecidesNothing(t *testing.T) {
 	m := &Model{}
 	for i := range 30 {
-		m.Learn("standing", time.Duration(i)*readingEvery, Load{"image": 0.1}, 0.005-m.Weight("standing", "image")*0.1, 0.0005)
+		m.UpdateWeights("standing", time.Duration(i)*readingEvery, Load{"image": 0.1}, 0.005-m.Weight("standing", "image")*0.1, 0.0005)
 	}
-	m.Learn("standing", 31*readingEvery, Load{"image": 0.1}, 0.5, 0.0005)
+	m.UpdateWeights("standing", 31*readingEvery, Load{"image": 0.1}, 0.5, 0.0005)
 	assert.Assert(t, m.Weight("standing", "image") < 0.3, "%v", m.Weight("standing", "image"))
 }
 
@@ -216,7 +216,7 @@
 func TestPairsAreBounded(t *testing.T) {
 	m := &Model{}
 	for i := range 2 * maxPairs {
-		m.Learn("standing", time.Duration(i), Load{fmt.Sprint(i): 0.1}, 0, 0.0005)
+		m.UpdateWeights("standing", time.Duration(i), Load{fmt.Sprint(i): 0.1}, 0, 0.0005)
 		m.noteFloor(Target{Image: fmt.Sprint(i)}, 10)
 	}
 	assert.Assert(t, len(m.weights) <= maxPairs+1, "%d pairs", len(m.weights))
--- a/internal/store/graph/apply.go
+++ b/internal/store/graph/apply.go
@@ -13,21 +13,21 @@
 
 // Why a command changes nothing.
 var (
-	ErrUnknownQueue     = errors.New("no such queue")
-	ErrUnknownJob       = errors.New("no such job")
-	ErrUnknownAgent     = errors.New("no such agent")
-	ErrOtherContent     = errors.New("the id names a job with other content")
-	ErrSuperseded       = errors.New("the run isn't the task's present one")
-	ErrNotReady         = errors.New("the task isn't to be placed")
-	ErrOtherIncarnation = errors.New("another incarnation is registered under the id")
-	ErrLeaving          = errors.New("the agent is leaving")
+	ErrUnknownQueue        = errors.New("no such queue")
+	ErrUnknownJob          = errors.New("no such job")
+	ErrUnknownAgent        = errors.New("no such agent")
+	ErrContentMismatch     = errors.New("the id names a job with other content")
+	ErrSuperseded          = errors.New("the run isn't the task's present one")
+	ErrNotReady            = errors.New("the task isn't to be placed")
+	ErrIncarnationMismatch = errors.New("another incarnation is registered under the id")
+	ErrAgentLeaving        = errors.New("the agent is leaving")
 )
 
 // Result is what a command came to.
 type Result struct {
 	Err error
 	// Placed tells for each placement whether it holds.
-	Placed []error
+	PlacementErrors []error
 }
 
 // Apply carries out one committed command, at the time that it bears.
@@ -95,7 +95,7 @@
 func (g *Graph) submit(at time.Time, s *wire.SubmitWork) error {
 	if known := g.jobs[s.Job]; known != nil {
 		if known.Queue != s.Queue || !proto.Equal(known.Spec, s.Spec) {
-			return ErrOtherContent
+			return ErrContentMismatch
 		}
 		return nil
 	}
@@ -132,8 +132,8 @@
 		delete(g.ready, s)
 		return
 	}
-	if !g.ready[s] && g.Readied != nil {
-		g.Readied(s)
+	if !g.ready[s] && g.OnStageReady != nil {
+		g.OnStageReady(s)
 	}
 	g.ready[s] = true
 }
@@ -174,8 +174,8 @@
 			g.touchRuns(s)
 		}
 	}
-	if g.Finished != nil {
-		g.Finished(j)
+	if g.OnJobFinished != nil {
+		g.OnJobFinished(j)
 	}
 	j.thin()
 	g.changed()
@@ -192,7 +192,7 @@
 // putAgent registers an agent or renews what is known of it. Leaving is for
 // good: a report that says otherwise is an older one.
 func (g *Graph) putAgent(r *wire.Agent) error {
-	if g.Dropped(r.Id) {
+	if g.AgentRemoved(r.Id) {
 		return ErrUnknownAgent
 	}
 	defer g.touch(r.Id)
@@ -205,7 +205,7 @@
 	if known.Record.Incarnation != 0 && r.Incarnation != known.Record.Incarnation {
 		// Two processes of the agent reported before either was committed. The runs here
 		// are the first one's.
-		return ErrOtherIncarnation
+		return ErrIncarnationMismatch
 	}
 	if known.Record.Leaving && !r.Leaving {
 		// The command may be on its way to other replicas yet.
--- a/internal/store/graph/crash_test.go
+++ b/internal/store/graph/crash_test.go
@@ -43,7 +43,7 @@
 			g := prepared(t, &wire.Step{Count: 1, Standing: c.standing})
 			for i, outcome := range c.ends {
 				id := runOf(0, 0, uint32(i+1))
-				assert.NilError(t, g.Apply(noon, placeCommand("a1", id)).Placed[0])
+				assert.NilError(t, g.Apply(noon, placeCommand("a1", id)).PlacementErrors[0])
 				end := endCommand("a1", id, outcome)
 				g.Apply(noon, end)
 				g.Apply(noon, end) // told again, it counts once
@@ -53,8 +53,8 @@
 				g = loaded
 			}
 			assert.Equal(t, g.Job(jobID).State, c.want)
-			if task := g.Find(runOf(0, 0, 1)); task != nil {
-				assert.Equal(t, task.OnLastTry(), c.lastTry)
+			if task := g.FindTask(runOf(0, 0, 1)); task != nil {
+				assert.Equal(t, task.OnFinalAttempt(), c.lastTry)
 			}
 		})
 	}
--- a/internal/store/graph/drain_test.go
+++ b/internal/store/graph/drain_test.go
@@ -32,10 +32,10 @@
 func TestDrainedDomainTakesNoRuns(t *testing.T) {
 	g := inDomains(t)
 	assert.NilError(t, g.Apply(noon, drainCommand("east", false)).Err)
-	assert.ErrorIs(t, g.Apply(noon, placeCommand("a1", runOf(0, 0, 1))).Placed[0], ErrDrained)
-	assert.NilError(t, g.Apply(noon, placeCommand("a2", runOf(0, 1, 1))).Placed[0])
+	assert.ErrorIs(t, g.Apply(noon, placeCommand("a1", runOf(0, 0, 1))).PlacementErrors[0], ErrDrained)
+	assert.NilError(t, g.Apply(noon, placeCommand("a2", runOf(0, 1, 1))).PlacementErrors[0])
 	assert.NilError(t, g.Apply(noon, drainCommand("east", true)).Err)
-	assert.NilError(t, g.Apply(noon, placeCommand("a1", runOf(0, 0, 1))).Placed[0])
+	assert.NilError(t, g.Apply(noon, placeCommand("a1", runOf(0, 0, 1))).PlacementErrors[0])
 }
 
 // Guards against a repeated order being refused, or taken for a change.
--- a/internal/store/graph/graph.go
+++ b/internal/store/graph/graph.go
@@ -24,7 +24,7 @@
 		// Tasks are those whose present run may exist on this agent.
 		Tasks map[*Task]bool
 		// Silence is nil for one that answers.
-		Silence *Silence
+		LeaseExpiry *LeaseExpiry
 	}
 
 	// Graph is the state. The zero value isn't usable; see New. It isn't safe
@@ -44,26 +44,26 @@
 		drains   drains
 		// Changed is called after each command that may have changed what is to
 		// be placed or where it may go; nil is allowed.
-		Changed func()
+		OnChange func()
 		// Touched is called with the id of each agent whose record, runs or runs' jobs a
 		// command changed; nil is allowed. Whoever follows the state looks at those
 		// alone, and not at every run of thousands of agents in each turn.
-		Touched func(agent string)
+		OnAgentChange func(agent string)
 		// Readied is called with each stage that comes to have tasks to place; nil is
 		// allowed.
-		Readied func(*Stage)
+		OnStageReady func(*Stage)
 		// Finished is called with each job that reaches its final state by a
 		// command; nil is allowed.
-		Finished func(*Job)
+		OnJobFinished func(*Job)
 		// Boot is a clock that also counts suspension. What it shows is no part of the
 		// replicated state.
-		Boot func() time.Duration
+		BootClock func() time.Duration
 	}
 )
 
 // New returns the empty state.
 func New() *Graph {
-	g := &Graph{Boot: boot.Now}
+	g := &Graph{BootClock: boot.Now}
 	g.reset()
 	return g
 }
@@ -114,21 +114,21 @@
 
 // Dropped tells whether an agent of this id was dropped, and must not come
 // back: what it reports was sent before its end was settled.
-func (g *Graph) Dropped(id string) bool {
+func (g *Graph) AgentRemoved(id string) bool {
 	_, ok := g.dropped[id]
 	return ok
 }
 
 // Learned is what earlier leaders learned of the work, or nil. It must not be
 // changed.
-func (g *Graph) Learned() *wire.Learned { return g.learned }
+func (g *Graph) Estimates() *wire.Learned { return g.learned }
 
 // Pending is the number of accepted jobs of a queue of which no task has begun.
-func (g *Graph) Pending(queue string) int { return g.pending[queue] }
+func (g *Graph) PendingJobs(queue string) int { return g.pending[queue] }
 
 // Ready returns the stages that have tasks to place, whether due yet or not,
 // in the order in which their jobs were accepted.
-func (g *Graph) Ready() []*Stage {
+func (g *Graph) SortedReadyStages() []*Stage {
 	stages := g.ReadyStages()
 	sort.Slice(stages, func(i, k int) bool { return stages[i].Before(stages[k]) })
 	return stages
@@ -144,7 +144,7 @@
 }
 
 // Find returns the task that a run id names, or nil.
-func (g *Graph) Find(id *wire.RunId) *Task {
+func (g *Graph) FindTask(id *wire.RunId) *Task {
 	j := g.jobs[id.GetJob()]
 	if j == nil || int(id.Occurrence) >= len(j.Occurrences) {
 		return nil
@@ -157,13 +157,13 @@
 }
 
 func (g *Graph) changed() {
-	if g.Changed != nil {
-		g.Changed()
+	if g.OnChange != nil {
+		g.OnChange()
 	}
 }
 
 func (g *Graph) touch(agent string) {
-	if g.Touched != nil && agent != "" {
-		g.Touched(agent)
+	if g.OnAgentChange != nil && agent != "" {
+		g.OnAgentChange(agent)
 	}
 }
--- a/internal/store/graph/graph_test.go
+++ b/internal/store/graph/graph_test.go
@@ -69,17 +69,17 @@
 func assertState(t *testing.T, g *Graph, want wire.WorkState, ready int) {
 	t.Helper()
 	assert.Equal(t, g.Job(jobID).State, want)
-	assert.Equal(t, len(g.Ready()), ready)
+	assert.Equal(t, len(g.SortedReadyStages()), ready)
 }
 
 func TestStepsFollowOneAnother(t *testing.T) {
 	g := prepared(t, &wire.Step{Count: 2}, &wire.Step{Count: 1, After: []uint32{0}})
 	assertState(t, g, wire.WorkState_WORK_STATE_QUEUED, 1)
-	assert.Equal(t, g.Pending("q"), 1)
-	assert.ErrorIs(t, g.Apply(noon, placeCommand("a1", runOf(1, 0, 1))).Placed[0], ErrNotReady)
+	assert.Equal(t, g.PendingJobs("q"), 1)
+	assert.ErrorIs(t, g.Apply(noon, placeCommand("a1", runOf(1, 0, 1))).PlacementErrors[0], ErrNotReady)
 	g.Apply(noon, placeCommand("a1", runOf(0, 0, 1), runOf(0, 1, 1)))
 	assertState(t, g, wire.WorkState_WORK_STATE_RUNNING, 0)
-	assert.Equal(t, g.Pending("q"), 0)
+	assert.Equal(t, g.PendingJobs("q"), 0)
 	g.Apply(noon, endCommand("a1", runOf(0, 0, 1), wire.RunOutcome_RUN_OUTCOME_DONE))
 	assertState(t, g, wire.WorkState_WORK_STATE_RUNNING, 0)
 	g.Apply(noon, endCommand("a1", runOf(0, 1, 1), wire.RunOutcome_RUN_OUTCOME_DONE))
@@ -101,11 +101,11 @@
 	assert.Equal(t, len(before), 2)
 	t.Run("cancelled, one run left", func(t *testing.T) {
 		g.Apply(noon, &wire.WorkCommand{Body: &wire.WorkCommand_Cancel{Cancel: &wire.CancelWork{Job: jobID, Queue: "q"}}})
-		assert.Assert(t, g.Find(runOf(0, 1, 1)) != nil)
+		assert.Assert(t, g.FindTask(runOf(0, 1, 1)) != nil)
 	})
 	t.Run("over", func(t *testing.T) {
 		g.Apply(noon, endCommand("a1", runOf(0, 1, 1), wire.RunOutcome_RUN_OUTCOME_STOPPED))
-		assert.Assert(t, g.Find(runOf(0, 1, 1)) == nil)
+		assert.Assert(t, g.FindTask(runOf(0, 1, 1)) == nil)
 		assertState(t, g, wire.WorkState_WORK_STATE_CANCELLED, 0)
 		tasks := g.Job(jobID).Record().Tasks
 		assert.Equal(t, len(tasks), 2)
@@ -133,7 +133,7 @@
 	assertState(t, g, wire.WorkState_WORK_STATE_RUNNING, 1)
 	g.Apply(noon, placeCommand("a2", runOf(0, 0, 2)))
 	g.Apply(noon, failed)
-	assert.Equal(t, g.Find(runOf(0, 0, 2)).Agent, "a2")
+	assert.Equal(t, g.FindTask(runOf(0, 0, 2)).Agent, "a2")
 	g.Apply(noon, endCommand("a1", runOf(0, 0, 2), wire.RunOutcome_RUN_OUTCOME_DONE))
 	assertState(t, g, wire.WorkState_WORK_STATE_RUNNING, 0)
 }
@@ -152,12 +152,12 @@
 		{"unknown job", "a1", &wire.RunId{Job: "other", Run: 1}, ErrUnknownJob},
 		{"no such task", "a1", runOf(0, 9, 1), ErrUnknownJob},
 		{"unknown agent", "a9", runOf(0, 1, 1), ErrUnknownAgent},
-		{"leaving agent", "a2", runOf(0, 1, 1), ErrLeaving},
+		{"leaving agent", "a2", runOf(0, 1, 1), ErrAgentLeaving},
 		{"run number isn't higher", "a1", runOf(0, 1, 0), ErrSuperseded},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			assert.ErrorIs(t, g.Apply(noon, placeCommand(c.agent, c.id)).Placed[0], c.want)
+			assert.ErrorIs(t, g.Apply(noon, placeCommand(c.agent, c.id)).PlacementErrors[0], c.want)
 		})
 	}
 }
@@ -165,7 +165,7 @@
 func TestAttemptsAreLimited(t *testing.T) {
 	g := prepared(t, &wire.Step{Count: 1})
 	for run := uint32(1); run <= 2; run++ {
-		assert.NilError(t, g.Apply(noon, placeCommand("a1", runOf(0, 0, run))).Placed[0])
+		assert.NilError(t, g.Apply(noon, placeCommand("a1", runOf(0, 0, run))).PlacementErrors[0])
 		g.Apply(noon, endCommand("a1", runOf(0, 0, run), wire.RunOutcome_RUN_OUTCOME_FAILED))
 	}
 	assertState(t, g, wire.WorkState_WORK_STATE_FAILED, 0)
@@ -201,7 +201,7 @@
 	g.Apply(noon, endCommand("a1", runOf(0, 1, 1), wire.RunOutcome_RUN_OUTCOME_DONE))
 	assertState(t, g, wire.WorkState_WORK_STATE_COMPLETED, 0)
 	g.Apply(noon, endCommand("a1", runOf(0, 0, 1), wire.RunOutcome_RUN_OUTCOME_DONE))
-	assert.Equal(t, g.Find(runOf(0, 0, 1)).Agent, "")
+	assert.Equal(t, g.FindTask(runOf(0, 0, 1)).Agent, "")
 }
 
 // A dropped agent never comes back: what it sends was sent before its end.
@@ -212,7 +212,7 @@
 	assert.NilError(t, g.Apply(noon, drop).Err)
 	assertState(t, g, wire.WorkState_WORK_STATE_RUNNING, 1)
 	assert.ErrorIs(t, g.Apply(noon, agentCommand("a1", false)).Err, ErrUnknownAgent)
-	assert.Assert(t, g.Dropped("a1"))
+	assert.Assert(t, g.AgentRemoved("a1"))
 }
 
 // Symptom: an agent that is leaving gets new work. Sequence: its report that it
@@ -221,7 +221,7 @@
 	g := prepared(t, &wire.Step{Count: 1})
 	g.Apply(noon, agentCommand("a1", true))
 	g.Apply(noon, agentCommand("a1", false))
-	assert.ErrorIs(t, g.Apply(noon, placeCommand("a1", runOf(0, 0, 1))).Placed[0], ErrLeaving)
+	assert.ErrorIs(t, g.Apply(noon, placeCommand("a1", runOf(0, 0, 1))).PlacementErrors[0], ErrAgentLeaving)
 }
 
 func TestCatalogVersions(t *testing.T) {
@@ -246,7 +246,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.host+c.path, func(t *testing.T) {
-			q, rest := g.Match(c.host, c.path)
+			q, rest := g.MatchQueue(c.host, c.path)
 			assert.Equal(t, q.GetName(), c.queue)
 			assert.Equal(t, rest, c.rest)
 		})
@@ -270,7 +270,7 @@
 	g := prepared(t, &wire.Step{Count: 1})
 	assert.NilError(t, g.Apply(noon, submitCommand(jobID, &wire.Step{Count: 1})).Err)
 	assert.Equal(t, len(g.Jobs()), 1)
-	assert.ErrorIs(t, g.Apply(noon, submitCommand(jobID, &wire.Step{Count: 2})).Err, ErrOtherContent)
+	assert.ErrorIs(t, g.Apply(noon, submitCommand(jobID, &wire.Step{Count: 2})).Err, ErrContentMismatch)
 }
 
 func TestChecks(t *testing.T) {
@@ -333,8 +333,8 @@
 				reloaded.Load(image)
 			}
 			assert.Assert(t, proto.Equal(direct.Save(), reloaded.Save()), "seed %d, step %d", seed, step)
-			assert.Equal(t, len(direct.Ready()), len(reloaded.Ready()), "seed %d, step %d", seed, step)
-			assert.Equal(t, direct.Pending("q"), reloaded.Pending("q"), "seed %d, step %d", seed, step)
+			assert.Equal(t, len(direct.SortedReadyStages()), len(reloaded.SortedReadyStages()), "seed %d, step %d", seed, step)
+			assert.Equal(t, direct.PendingJobs("q"), reloaded.PendingJobs("q"), "seed %d, step %d", seed, step)
 		}
 	}
 }
--- a/internal/store/graph/image.go
+++ b/internal/store/graph/image.go
@@ -146,7 +146,7 @@
 }
 
 // Overdue tells whether a job ended so long ago that it may be forgotten.
-func (g *Graph) Overdue(endedBefore time.Time) bool {
+func (g *Graph) HasRemovableJobs(endedBefore time.Time) bool {
 	for _, j := range g.jobs {
 		if j.Ended() && j.EndedAt.Before(endedBefore) && !j.mayRun() {
 			return true
--- a/internal/store/graph/job.go
+++ b/internal/store/graph/job.go
@@ -38,7 +38,7 @@
 		Due time.Time
 		// Longest is the declared time from this stage's start to the end of
 		// the job along the longest chain.
-		Longest time.Duration
+		CriticalPath time.Duration
 
 		waitsFor int // stages before it that haven't ended
 		next     []*Stage
@@ -86,10 +86,10 @@
 // Most of what goes with an agent is neither, and there would be too many to keep apart.
 func (t *Task) Suspect() bool { return t.StartCrashes > 0 || t.Crashes > 1 }
 
-// OnLastTry tells whether the task's next start is made apart from all others, since one
+// OnFinalAttempt tells whether the task's next start is made apart from all others, since one
 // more crash fails its job. A standing task that crashed later isn't held up for that: it
 // has to run again soon, and would wait for seconds.
-func (t *Task) OnLastTry() bool {
+func (t *Task) OnFinalAttempt() bool {
 	return t.StartCrashes == MaxStartCrashes-1 || t.Crashes == MaxCrashes-1 && !t.Stage.Standing()
 }
 
@@ -99,10 +99,10 @@
 }
 
 // Begun tells whether a task of the job has been placed.
-func (j *Job) Begun() bool { return j.begun }
+func (j *Job) Started() bool { return j.begun }
 
 // Ran tells whether a task of the stage has been placed before.
-func (s *Stage) Ran() bool {
+func (s *Stage) HasRun() bool {
 	for _, t := range s.Tasks {
 		if t.Run > 0 {
 			return true
@@ -111,11 +111,11 @@
 	return false
 }
 
-// OnLastTry tells whether a task of the stage that waits to be placed is on its last
+// OnFinalAttempt tells whether a task of the stage that waits to be placed is on its last
 // try.
-func (s *Stage) OnLastTry() bool {
+func (s *Stage) OnFinalAttempt() bool {
 	for _, t := range s.Tasks {
-		if t.Placeable() && t.OnLastTry() {
+		if t.Placeable() && t.OnFinalAttempt() {
 			return true
 		}
 	}
@@ -123,7 +123,7 @@
 }
 
 // Left is the number of tasks that haven't ended.
-func (s *Stage) Left() int { return len(s.Tasks) - s.done }
+func (s *Stage) Remaining() int { return len(s.Tasks) - s.done }
 
 // Ready tells whether the stage has tasks to place, due yet or not.
 func (s *Stage) Ready() bool { return s.Unplaced > 0 && s.waitsFor == 0 && !s.Job.Ended() }
@@ -204,9 +204,9 @@
 	for i := len(stages) - 1; i >= 0; i-- {
 		s := stages[i]
 		for _, n := range s.next {
-			s.Longest = max(s.Longest, n.Longest)
+			s.CriticalPath = max(s.CriticalPath, n.CriticalPath)
 		}
-		s.Longest += time.Duration(s.Step.EstimateMs) * time.Millisecond
+		s.CriticalPath += time.Duration(s.Step.EstimateMs) * time.Millisecond
 	}
 }
 
--- a/internal/store/graph/match.go
+++ b/internal/store/graph/match.go
@@ -11,7 +11,7 @@
 // Match returns the queue whose host is the given one and whose path prefix is
 // the longest that the path begins with, and the rest of the path; nil when
 // there is none.
-func (g *Graph) Match(host, path string) (*wire.Queue, string) {
+func (g *Graph) MatchQueue(host, path string) (*wire.Queue, string) {
 	var best *wire.Queue
 	for _, q := range g.byHost[host] {
 		if strings.HasPrefix(path, q.PathPrefix) && (best == nil || len(q.PathPrefix) > len(best.PathPrefix)) {
--- a/internal/store/graph/runs.go
+++ b/internal/store/graph/runs.go
@@ -24,9 +24,9 @@
 )
 
 func (g *Graph) place(p *wire.PlaceRuns) Result {
-	res := Result{Placed: make([]error, len(p.Placements))}
+	res := Result{PlacementErrors: make([]error, len(p.Placements))}
 	for i, placement := range p.Placements {
-		res.Placed[i] = g.placeRun(placement)
+		res.PlacementErrors[i] = g.placeRun(placement)
 	}
 	return res
 }
@@ -34,14 +34,14 @@
 // placeRun notes that a run may exist. What is asked is checked here and not
 // by the leader that asks, whose view may be older than this state.
 func (g *Graph) placeRun(p *wire.RunPlacement) error {
-	t, r := g.Find(p.Id), g.agents[p.Agent]
+	t, r := g.FindTask(p.Id), g.agents[p.Agent]
 	switch {
 	case t == nil:
 		return ErrUnknownJob
 	case r == nil:
 		return ErrUnknownAgent
 	case r.Record.Leaving:
-		return ErrLeaving
+		return ErrAgentLeaving
 	case g.Drained(r.Record.FailureDomain):
 		return ErrDrained
 	case !t.Placeable() || t.Stage.Job.Ended() || t.Stage.waitsFor > 0:
@@ -79,7 +79,7 @@
 // end notes how a run ended. An end of another run than the present one is a
 // repeated report and changes nothing.
 func (g *Graph) end(at time.Time, e *wire.RunEnd) {
-	t := g.Find(e.Id)
+	t := g.FindTask(e.Id)
 	if t == nil || t.Run != e.Id.Run || t.Agent != e.Agent || t.Agent == "" {
 		return
 	}
--- a/internal/store/graph/silence.go
+++ b/internal/store/graph/silence.go
@@ -14,17 +14,19 @@
 
 // Silence bounds the leases on an agent that doesn't answer. While it stands, no leader
 // grants another one.
-type Silence struct {
-	// LapsesIn is how long after NotedAt every lease has run out.
-	LapsesIn time.Duration
-	// NotedAt is when this replica applied or loaded the record, by its own boot clock.
+type LeaseExpiry struct {
+	// ExpiresIn is how long after RecordedAt every lease has run out.
+	ExpiresIn time.Duration
+	// RecordedAt is when this replica applied or loaded the record, by its own boot clock.
 	// That is later than when the leader committed it, so that no replica takes a lease
 	// for run out too early, whatever its clock shows.
-	NotedAt time.Duration
+	RecordedAt time.Duration
 }
 
 // Over tells whether every lease has run out by a time of the boot clock.
-func (s *Silence) Over(now time.Duration) bool { return s != nil && now >= s.NotedAt+s.LapsesIn }
+func (s *LeaseExpiry) Expired(now time.Duration) bool {
+	return s != nil && now >= s.RecordedAt+s.ExpiresIn
+}
 
 func (g *Graph) noteSilence(list []*wire.SilentAgent) {
 	for _, told := range list {
@@ -32,9 +34,9 @@
 		switch {
 		case at == nil:
 		case told.LapsesIn == nil:
-			at.Silence = nil
+			at.LeaseExpiry = nil
 		default:
-			at.Silence = &Silence{LapsesIn: told.LapsesIn.AsDuration(), NotedAt: g.Boot()}
+			at.LeaseExpiry = &LeaseExpiry{ExpiresIn: told.LapsesIn.AsDuration(), RecordedAt: g.BootClock()}
 		}
 	}
 }
@@ -42,8 +44,8 @@
 func (g *Graph) saveSilence() []*wire.SilentAgent {
 	var list []*wire.SilentAgent
 	for id, at := range g.agents {
-		if at.Silence != nil {
-			list = append(list, &wire.SilentAgent{Id: id, LapsesIn: durationpb.New(at.Silence.LapsesIn)})
+		if at.LeaseExpiry != nil {
+			list = append(list, &wire.SilentAgent{Id: id, LapsesIn: durationpb.New(at.LeaseExpiry.ExpiresIn)})
 		}
 	}
 	slices.SortFunc(list, func(a, b *wire.SilentAgent) int { return strings.Compare(a.Id, b.Id) })
--- a/internal/store/graph/silence_test.go
+++ b/internal/store/graph/silence_test.go
@@ -24,23 +24,23 @@
 	now := 100 * time.Second
 	boot := func() time.Duration { return now }
 	g := prepared(t, &wire.Step{Count: 1})
-	g.Boot = boot
+	g.BootClock = boot
 	g.Apply(noon, silentCommand("a1", durationpb.New(5*time.Second)))
-	assert.Assert(t, !g.Agent("a1").Silence.Over(now+4999*time.Millisecond))
-	assert.Assert(t, g.Agent("a1").Silence.Over(now+5*time.Second))
-	assert.Assert(t, !g.Agent("a2").Silence.Over(now+time.Hour))
+	assert.Assert(t, !g.Agent("a1").LeaseExpiry.Expired(now+4999*time.Millisecond))
+	assert.Assert(t, g.Agent("a1").LeaseExpiry.Expired(now+5*time.Second))
+	assert.Assert(t, !g.Agent("a2").LeaseExpiry.Expired(now+time.Hour))
 	t.Run("loaded later", func(t *testing.T) {
 		image := g.Save()
 		now += 3 * time.Second
 		loaded := New()
-		loaded.Boot = boot
+		loaded.BootClock = boot
 		loaded.Load(image)
-		assert.Assert(t, !loaded.Agent("a1").Silence.Over(now+4999*time.Millisecond))
-		assert.Assert(t, loaded.Agent("a1").Silence.Over(now+5*time.Second))
+		assert.Assert(t, !loaded.Agent("a1").LeaseExpiry.Expired(now+4999*time.Millisecond))
+		assert.Assert(t, loaded.Agent("a1").LeaseExpiry.Expired(now+5*time.Second))
 	})
 	t.Run("answers again", func(t *testing.T) {
 		g.Apply(noon, silentCommand("a1", nil))
-		assert.Assert(t, g.Agent("a1").Silence == nil)
+		assert.Assert(t, g.Agent("a1").LeaseExpiry == nil)
 		assert.Equal(t, len(g.Save().SilentAgents), 0)
 	})
 	t.Run("dropped meanwhile", func(t *testing.T) {
--- a/internal/store/state/apply.go
+++ b/internal/store/state/apply.go
@@ -71,7 +71,7 @@
 		return m.failJob(c, body.FailJob)
 	case *wire.Command_Work:
 		res := m.graph.Apply(c.At.AsTime(), body.Work)
-		return Result{Err: res.Err, Placed: res.Placed}
+		return Result{Err: res.Err, Placed: res.PlacementErrors}
 	default:
 		return Result{}
 	}
