--- a/internal/cli/cmds/config.go
+++ b/internal/cli/cmds/config.go
@@ -29,7 +29,7 @@
 	if err := readMessage(file, c); err != nil {
 		return nil, err
 	}
-	if err := rules.Check(c); err != nil {
+	if err := rules.Validate(c); err != nil {
 		return nil, usageError{fmt.Errorf("%s: %w", file, err)}
 	}
 	return c, nil
--- a/internal/run/ctrl/ctrl.go
+++ b/internal/run/ctrl/ctrl.go
@@ -67,7 +67,7 @@
 		clock    clockwork.Clock
 		self     *wire.ControlMember
 		pool     link.Pool
-		founder  *peers.Founder
+		founder  *peers.Bootstrapper
 		carrier  *peers.Transport
 		admin    admin.Server
 		log      *walog.Log
@@ -138,7 +138,7 @@
 		return err
 	}
 	c.log = log
-	context.AfterFunc(ctx, log.GiveUp)
+	context.AfterFunc(ctx, log.AbortRetries)
 	if durable.TornBytes > 0 {
 		c.logger.Warn("cut off an unfinished write", "bytes", durable.TornBytes)
 	}
@@ -163,7 +163,7 @@
 }
 
 // identify reads this replica's identity, or draws one for a new folder.
-func (c *Control) identify(durable *walog.Durable) error {
+func (c *Control) identify(durable *walog.DurableState) error {
 	if durable.Vote.GetReplicaId() == 0 {
 		id := rand.Uint64() | 1
 		durable.Vote = &wire.Vote{Term: durable.Vote.GetTerm(), VotedFor: durable.Vote.GetVotedFor(), ReplicaId: id}
@@ -174,12 +174,12 @@
 	common := c.settings.Common
 	c.pool.Options = link.Options{Traced: common.TraceEndpoint != "", Source: common.SourceAddress}
 	c.self = &wire.ControlMember{Name: common.InstanceId, Address: setup.Advertised(common), ReplicaId: durable.Vote.ReplicaId}
-	c.founder = &peers.Founder{Self: c.self, Pool: &c.pool, JoinOnly: c.settings.FirstStart == "false"}
+	c.founder = &peers.Bootstrapper{Self: c.self, Pool: &c.pool, JoinOnly: c.settings.FirstStart == "false"}
 	for _, text := range c.settings.FoundingMembers {
 		name, address, _ := strings.Cut(text, "=")
-		c.founder.Members = append(c.founder.Members, &wire.ControlMember{Name: name, Address: address})
+		c.founder.InitialMembers = append(c.founder.InitialMembers, &wire.ControlMember{Name: name, Address: address})
 	}
-	c.founder.Members = append(c.founder.Members, seedMembers(c.settings)...)
+	c.founder.InitialMembers = append(c.founder.InitialMembers, seedMembers(c.settings)...)
 	return nil
 }
 
@@ -200,17 +200,17 @@
 		case <-ctx.Done():
 			return
 		case fresh := <-reloads:
-			c.founder.AddSeeds(seedMembers(fresh))
+			c.founder.SetSeeds(seedMembers(fresh))
 			c.logger.Info("settings taken", "seeds", setup.Seeds(fresh.Seeds))
 		}
 	}
 }
 
-func (c *Control) found(ctx context.Context, durable *walog.Durable) error {
+func (c *Control) found(ctx context.Context, durable *walog.DurableState) error {
 	if durable.Snapshot != nil {
 		return nil
 	}
-	membership, err := c.founder.Found(ctx)
+	membership, err := c.founder.Bootstrap(ctx)
 	if err != nil {
 		return trace.Wrap(err, "founding the cluster")
 	}
@@ -219,10 +219,10 @@
 	return c.log.WriteSnapshot(durable.Snapshot)
 }
 
-func (c *Control) startNode(durable *walog.Durable) error {
+func (c *Control) startNode(durable *walog.DurableState) error {
 	c.machine = state.New(state.Options{
 		Retention: c.settings.RecordRetention.AsDuration(),
-		OnJob: func(j *wire.Job) {
+		OnJobChange: func(j *wire.Job) {
 			c.planner.Changed()
 			c.watchers.notify(j)
 		},
@@ -232,12 +232,12 @@
 		ID:                c.self.ReplicaId,
 		HeartbeatInterval: c.settings.HeartbeatInterval.AsDuration(),
 		ElectionTimeout:   c.settings.ElectionTimeout.AsDuration(),
-		SnapshotRecords:   uint64(c.settings.SnapshotRecords),
+		SnapshotThreshold: uint64(c.settings.SnapshotRecords),
 		Clock:             c.clock, Logger: c.logger,
-		Send:   c.carrier.Send,
-		Turn:   c.turn,
-		Lookup: c.founder.Lookup,
-		Failed: func(err error) { c.failed <- err },
+		Send:           c.carrier.Send,
+		AfterIteration: c.turn,
+		Lookup:         c.founder.Lookup,
+		OnDiskFailure:  func(err error) { c.failed <- err },
 	}, c.log, durable, c.machine)
 	if err != nil {
 		return err
@@ -246,7 +246,7 @@
 	c.planner = plan.New(plan.Options{
 		Machine: c.machine, Lease: c.settings.WorkerLease.AsDuration(),
 		Overlap: c.settings.ElectionTimeout.AsDuration(),
-		Propose: n.Propose, Leads: n.Leads, Confirmed: n.ConfirmedAt,
+		Propose: n.Propose, Leads: n.IsLeader, Confirmed: n.LeadershipConfirmedAt,
 		Term:   func() uint64 { return n.Core().Status().Term },
 		Logger: c.logger,
 	})
@@ -273,7 +273,7 @@
 func (c *Control) publish() {
 	status := c.node.Core().Status()
 	members := c.node.Core().Members()
-	_, leads := c.node.Leads()
+	_, leads := c.node.IsLeader()
 	old := c.view.Load()
 	version := c.machine.Configuration().Version
 	leader := addressOf(members, status.Leader)
@@ -320,7 +320,7 @@
 			member = member || m.ReplicaId == c.self.ReplicaId
 		}
 		if !member || c.clock.Now().Sub(led) > lostTouch {
-			c.founder.Announce(ctx)
+			c.founder.RequestJoin(ctx)
 		}
 	}
 }
@@ -357,7 +357,7 @@
 		leads := false
 		err := c.node.Do(ctx, func() {
 			if c.node.Core().Status().Role == quorum.Leader {
-				leads = c.node.Core().Handover()
+				leads = c.node.Core().TransferLeadership()
 			}
 		})
 		if err != nil || !leads {
--- a/internal/run/ctrl/member.go
+++ b/internal/run/ctrl/member.go
@@ -56,14 +56,14 @@
 	}
 	c.membershipAt = now
 	core := c.node.Core()
-	if _, leads := c.node.Leads(); !leads || core.Settled() != nil {
+	if _, leads := c.node.IsLeader(); !leads || core.MembershipCommitted() != nil {
 		return
 	}
 	change, err := c.nextChange(core.Members())
 	if change == "" {
 		return
 	}
-	if err != nil && !errors.Is(err, quorum.ErrBehind) {
+	if err != nil && !errors.Is(err, quorum.ErrLearnerNotReady) {
 		c.logger.Warn("membership not changed", "change", change, "error", err)
 		return
 	}
@@ -85,7 +85,7 @@
 		if old := voterAt(m, learner.Address); old != nil {
 			return "replace the lost disk of " + old.Name, core.Replace(old.ReplicaId, learner.ReplicaId)
 		}
-		if core.CaughtUp(learner.ReplicaId) != nil || c.node.SilentFor(learner.ReplicaId) > membershipInterval {
+		if core.CaughtUp(learner.ReplicaId) != nil || c.node.SinceLastResponse(learner.ReplicaId) > membershipInterval {
 			continue
 		}
 		if gone := c.goneVoter(m); gone != nil && countVoters(m) >= c.wantedVoters() {
@@ -95,7 +95,7 @@
 			return "give " + learner.Name + " a vote", core.Promote(learner.ReplicaId)
 		}
 	}
-	for _, w := range c.founder.Waiting() {
+	for _, w := range c.founder.PendingJoins() {
 		if len(m.Members) < maxMembers || voterAt(m, w.Address) != nil {
 			return "let " + w.Name + " learn", core.AddLearner(w)
 		}
@@ -108,7 +108,7 @@
 // each by a change of its own; replacing it in one step is only for a lost disk.
 func (c *Control) goneVoter(m *wire.Membership) *wire.ControlMember {
 	for _, member := range m.Members {
-		if member.Voter && c.node.SilentFor(member.ReplicaId) > goneAfter {
+		if member.Voter && c.node.SinceLastResponse(member.ReplicaId) > goneAfter {
 			return member
 		}
 	}
@@ -117,7 +117,7 @@
 
 // waitingAt returns the replica at an address that asks to be let in, or nil.
 func (c *Control) waitingAt(address string) *wire.ControlMember {
-	for _, w := range c.founder.Waiting() {
+	for _, w := range c.founder.PendingJoins() {
 		if w.Address == address {
 			return w
 		}
--- a/internal/run/ctrl/operator.go
+++ b/internal/run/ctrl/operator.go
@@ -44,7 +44,7 @@
 	if r.OperationId == "" || len(r.OperationId) > 128 {
 		return nil, status.Error(codes.InvalidArgument, "OperationId must have 1 to 128 bytes")
 	}
-	if err := rules.Check(r.Configuration); err != nil {
+	if err := rules.Validate(r.Configuration); err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
 	result, err := s.node.Commit(ctx, &wire.Command{Body: &wire.Command_ApplyConfiguration{ApplyConfiguration: r}})
@@ -109,7 +109,7 @@
 	err := s.node.Read(ctx, func() {
 		for id, w := range s.machine.Workers() {
 			answer.Workers = append(answer.Workers, &wire.WorkerStatus{
-				Worker: w.Record, Committed: w.Committed.Message(), Tasks: uint32(len(w.Tasks)),
+				Worker: w.Record, Committed: w.Committed.ToProto(), Tasks: uint32(len(w.Tasks)),
 				Attending:        s.planner.Attending(id, w.Record.Incarnation, s.clock.Now()),
 				QuarantineReason: w.Quarantine,
 			})
@@ -153,7 +153,7 @@
 		answer.Members = s.node.Core().Members().GetMembers()
 		answer.LeaderReplicaId = s.node.Core().Status().Leader
 	})
-	answer.Waiting = s.founder.Waiting()
+	answer.Waiting = s.founder.PendingJoins()
 	return answer, turned(err)
 }
 
@@ -207,7 +207,7 @@
 // candidate finds the replica to add among those waiting, or among the
 // learners of an earlier try.
 func (s *operatorService) candidate(ctx context.Context, name string) (*wire.ControlMember, error) {
-	for _, m := range s.founder.Waiting() {
+	for _, m := range s.founder.PendingJoins() {
 		if m.Name == name {
 			return m, nil
 		}
@@ -232,7 +232,7 @@
 // step makes one change once the change before it is committed, and waits
 // until it is committed itself.
 func (s *operatorService) step(ctx context.Context, change func(*quorum.Core) error) error {
-	return s.poll(ctx, func(c *quorum.Core) error { return change(c) }, func(c *quorum.Core) error { return c.Settled() })
+	return s.poll(ctx, func(c *quorum.Core) error { return change(c) }, func(c *quorum.Core) error { return c.MembershipCommitted() })
 }
 
 // caughtUp waits until the learner could be promoted.
@@ -251,7 +251,7 @@
 			if err == nil {
 				break
 			}
-			if !errors.Is(err, quorum.ErrChangePending) && !errors.Is(err, quorum.ErrBehind) {
+			if !errors.Is(err, quorum.ErrChangePending) && !errors.Is(err, quorum.ErrLearnerNotReady) {
 				return membershipStatus(err)
 			}
 			select {
--- a/internal/run/ctrl/work.go
+++ b/internal/run/ctrl/work.go
@@ -59,7 +59,7 @@
 	}
 	c.engine = drive.New(drive.Options{
 		Graph: c.machine.Graph(), Propose: c.node.Propose,
-		Leads: c.drives, MayOrder: c.node.RightToLead, Send: c.carry, Wall: time.Now,
+		Leads: c.drives, MayOrder: c.node.HoldsLeaderLease, Send: c.carry, Wall: time.Now,
 		Lease:           min(c.settings.AgentLease.AsDuration(), c.settings.MaxAgentLease.AsDuration()),
 		StopGrace:       c.settings.StopGrace.AsDuration(),
 		OtherRackFactor: c.settings.OtherRackFactor, Connections: files.Share(c.settings.MaxOpenFiles).Agents,
@@ -72,7 +72,7 @@
 
 // jobFinished logs a job's end, once: where it is led from.
 func (c *Control) jobFinished(j *graph.Job) {
-	if _, leads := c.node.Leads(); !leads {
+	if _, leads := c.node.IsLeader(); !leads {
 		return
 	}
 	took := j.EndedAt.Sub(j.AcceptedAt)
@@ -98,7 +98,7 @@
 // one too few for a moment; driving goes on, or all that is known of agents
 // would have to be asked anew.
 func (c *Control) drives() (uint64, bool) {
-	_, leads := c.node.Leads()
+	_, leads := c.node.IsLeader()
 	core := c.node.Core()
 	term := core.Status().Term
 	if c.platform.Carry != nil && c.enoughVoters(core.Members()) {
@@ -113,7 +113,7 @@
 func (c *Control) carry(o drive.Order) {
 	go func() {
 		answer := drive.Answer{Order: o, Verdict: drive.Unsent, Detail: "no right to lead"}
-		if c.node.RightToLead(o.Fence) {
+		if c.node.HoldsLeaderLease(o.Fence) {
 			answer = c.platform.Carry(context.Background(), o)
 			answer.Order = o
 		}
@@ -168,8 +168,8 @@
 func (s *workService) read(ctx context.Context, f func()) error {
 	done := false
 	err := s.node.Do(ctx, func() {
-		_, leads := s.node.Leads()
-		if leads && s.node.RightToLead(s.node.Core().Status().Term) {
+		_, leads := s.node.IsLeader()
+		if leads && s.node.HoldsLeaderLease(s.node.Core().Status().Term) {
 			f()
 			done = true
 		}
@@ -341,7 +341,7 @@
 		}
 		before := c.clock.Now().Add(-c.settings.WorkRetention.AsDuration())
 		c.node.Post(func() {
-			if _, leads := c.node.Leads(); !leads || !c.machine.Graph().Overdue(before) {
+			if _, leads := c.node.IsLeader(); !leads || !c.machine.Graph().Overdue(before) {
 				return
 			}
 			command := &wire.WorkCommand{Body: &wire.WorkCommand_Forget{Forget: &wire.ForgetWork{EndedBefore: timestamppb.New(before)}}}
--- a/internal/sched/drive/order_test.go
+++ b/internal/sched/drive/order_test.go
@@ -33,7 +33,7 @@
 		Graph: s.graph, Lease: modelLease, StopGrace: modelGrace,
 		Propose: func(c *wire.Command, done func(state.Result, error)) {
 			res := s.graph.Apply(time.Unix(0, 0), c.GetWork())
-			done(state.Result{Err: res.Err, Placed: res.Placed}, nil)
+			done(state.Result{Err: res.Err, PlacementErrors: res.Placed}, nil)
 		},
 		Leads:  func() (uint64, bool) { return 1, true },
 		Send:   func(o drive.Order) { s.orders = append(s.orders, o) },
--- a/internal/sched/drive/place.go
+++ b/internal/sched/drive/place.go
@@ -96,9 +96,9 @@
 		return
 	}
 	for i, p := range placements {
-		if res.Placed[i] != nil {
-			if !errors.Is(res.Placed[i], graph.ErrNotReady) {
-				e.options.Logger.Info("placement refused", "job", p.Id.Job, "agent", p.Agent, "error", res.Placed[i])
+		if res.PlacementErrors[i] != nil {
+			if !errors.Is(res.PlacementErrors[i], graph.ErrNotReady) {
+				e.options.Logger.Info("placement refused", "job", p.Id.Job, "agent", p.Agent, "error", res.PlacementErrors[i])
 			}
 			continue
 		}
--- a/internal/sched/drive/sim_test.go
+++ b/internal/sched/drive/sim_test.go
@@ -262,7 +262,7 @@
 	// What is committed comes from the log, not from the proposer's memory.
 	command := proto.Clone(p.command).(*wire.Command)
 	res := s.commit(command.GetWork())
-	p.done(state.Result{Err: res.Err, Placed: res.Placed}, nil)
+	p.done(state.Result{Err: res.Err, PlacementErrors: res.Placed}, nil)
 }
 
 // carry takes an order to its agent: at once, seconds late, or with its
--- a/internal/sched/plan/place.go
+++ b/internal/sched/plan/place.go
@@ -37,7 +37,7 @@
 		Job    *wire.Job
 		Worker *state.Worker
 		// Free is what is left before the job is placed.
-		Free, Capacity, Need state.Amount
+		Free, Capacity, Need state.Resources
 		// FailedHere tells that an earlier attempt failed on this worker.
 		FailedHere bool
 		// Siblings is the number of the same account's standing tasks in the
@@ -56,8 +56,8 @@
 // Spread prefers the worker with most left in its scarcest resource, keeps
 // standing tasks of an account apart, and avoids where the job failed.
 func Spread(c Candidate) float64 {
-	left := c.Free.WithOut(c.Need)
-	score := 1 - c.Capacity.WithOut(left).DominantShare(c.Capacity)
+	left := c.Free.Sub(c.Need)
+	score := 1 - c.Capacity.Sub(left).DominantShare(c.Capacity)
 	if c.FailedHere {
 		score -= 10
 	}
@@ -98,7 +98,7 @@
 	// choice looks at every seat for every placement.
 	seat struct {
 		worker         *state.Worker
-		free, capacity state.Amount
+		free, capacity state.Resources
 		// suspect tells that a job is there, or on its way, under which a worker crashed.
 		suspect bool
 	}
@@ -106,7 +106,7 @@
 	// usableWorkers are those that hold a lease and may take work.
 	usableWorkers struct {
 		seats []seat
-		total state.Amount
+		total state.Resources
 	}
 )
 
@@ -114,8 +114,8 @@
 	u := usableWorkers{seats: make([]seat, 0, len(p.options.Machine.Workers()))}
 	for _, w := range p.options.Machine.SortedWorkers() {
 		id := w.Record.WorkerId
-		capacity := state.AmountOf(w.Record.Capacity)
-		u.total = u.total.With(capacity)
+		capacity := state.ResourcesOf(w.Record.Capacity)
+		u.total = u.total.Add(capacity)
 		if w.Quarantine != "" || p.options.Machine.Drained(w) || p.losing[id] || !p.leases.Held(id, w.Record.Incarnation, now) {
 			continue
 		}
@@ -125,9 +125,9 @@
 	return u
 }
 
-func (p *Planner) claimants(now time.Time, total state.Amount) []*claimant {
+func (p *Planner) claimants(now time.Time, total state.Resources) []*claimant {
 	var claimants []*claimant
-	for _, name := range p.options.Machine.Accounts() {
+	for _, name := range p.options.Machine.AccountsWithQueuedJobs() {
 		c := &claimant{name: name, share: p.weightedShare(name, total)}
 		p.options.Machine.Queued(name, func(j *wire.Job) bool {
 			if _, busy := p.pending[j.JobId]; !busy && !waits(j, now) {
@@ -162,12 +162,12 @@
 	return best
 }
 
-func (p *Planner) weightedShare(account string, total state.Amount) float64 {
+func (p *Planner) weightedShare(account string, total state.Resources) float64 {
 	weight := p.options.Machine.Account(account).GetShare()
 	if weight <= 0 {
 		weight = 1
 	}
-	return p.options.Machine.Used(account).With(p.claimed[account]).DominantShare(total) / weight
+	return p.options.Machine.Used(account).Add(p.claimed[account]).DominantShare(total) / weight
 }
 
 // waits tells whether a job's back-off still runs.
@@ -180,10 +180,10 @@
 }
 
 func (p *Planner) placeOne(u usableWorkers, j *wire.Job) *wire.Placement {
-	need := state.AmountOf(j.Spec.Resources)
+	need := state.ResourcesOf(j.Spec.Resources)
 	account := j.Spec.ClientAccount
-	quota := state.AmountOf(p.options.Machine.Account(account).GetQuota())
-	if !p.options.Machine.Used(account).With(p.claimed[account]).With(need).FitsQuota(quota) {
+	quota := state.ResourcesOf(p.options.Machine.Account(account).GetQuota())
+	if !p.options.Machine.Used(account).Add(p.claimed[account]).Add(need).FitsQuota(quota) {
 		return nil
 	}
 	chosen := p.choose(u, j, need)
@@ -193,12 +193,12 @@
 		}
 		return nil
 	}
-	chosen.free = chosen.free.WithOut(need)
+	chosen.free = chosen.free.Sub(need)
 	chosen.suspect = chosen.suspect || suspect(j)
 	id := chosen.worker.Record.WorkerId
 	p.pending[j.JobId] = pendingPlacement{worker: id, account: account, need: need}
-	p.taken[id] = p.taken[id].With(need)
-	p.claimed[account] = p.claimed[account].With(need)
+	p.taken[id] = p.taken[id].Add(need)
+	p.claimed[account] = p.claimed[account].Add(need)
 	return &wire.Placement{
 		JobId: j.JobId, Attempt: j.Attempt + 1, WorkerId: id,
 		WorkerIncarnation: chosen.worker.Record.Incarnation,
@@ -207,7 +207,7 @@
 
 // choose returns the best of some workers that have room; nil only when none
 // at all has.
-func (p *Planner) choose(u usableWorkers, j *wire.Job, need state.Amount) *seat {
+func (p *Planner) choose(u usableWorkers, j *wire.Job, need state.Resources) *seat {
 	var best *seat
 	var bestScore float64
 	siblings := p.siblings(u, j)
@@ -220,7 +220,7 @@
 	p.cursor += stride
 	for i, seen := 0, 0; i < n && seen < maxConsidered; i++ {
 		s := &u.seats[(p.cursor+i*stride)%n]
-		if !need.Fits(s.free) || s.suspect && suspect(j) {
+		if !need.FitsIn(s.free) || s.suspect && suspect(j) {
 			continue
 		}
 		seen++
@@ -236,9 +236,9 @@
 	return best
 }
 
-func (p *Planner) free(w *state.Worker) state.Amount {
-	capacity := state.AmountOf(w.Record.Capacity)
-	return capacity.WithOut(w.Committed).WithOut(p.taken[w.Record.WorkerId])
+func (p *Planner) free(w *state.Worker) state.Resources {
+	capacity := state.ResourcesOf(w.Record.Capacity)
+	return capacity.Sub(w.Committed).Sub(p.taken[w.Record.WorkerId])
 }
 
 // suspect tells whether a job may be one that ends its workers. Of the jobs that go with
@@ -289,7 +289,7 @@
 // preempt orders the eviction of the youngest tasks that aren't urgent, from
 // the worker where the fewest have to go. They stop at a checkpoint and resume
 // elsewhere; the urgent job is placed once they have.
-func (p *Planner) preempt(u usableWorkers, need state.Amount) {
+func (p *Planner) preempt(u usableWorkers, need state.Resources) {
 	var victims []*wire.Job
 	for _, s := range u.seats {
 		chosen, ok := p.victims(s.worker, need)
@@ -310,12 +310,12 @@
 	}
 }
 
-func (p *Planner) victims(w *state.Worker, need state.Amount) ([]*wire.Job, bool) {
+func (p *Planner) victims(w *state.Worker, need state.Resources) ([]*wire.Job, bool) {
 	free := p.free(w)
 	var tasks []*wire.Job
 	for _, j := range w.Tasks {
 		if p.mustStop(j) {
-			free = free.With(state.AmountOf(j.Spec.Resources))
+			free = free.Add(state.ResourcesOf(j.Spec.Resources))
 		} else if !j.Spec.Urgent && j.Class != wire.JobClass_JOB_CLASS_STANDING {
 			tasks = append(tasks, j)
 		}
@@ -325,13 +325,13 @@
 	})
 	var chosen []*wire.Job
 	for _, j := range tasks {
-		if need.Fits(free) {
+		if need.FitsIn(free) {
 			break
 		}
-		free = free.With(state.AmountOf(j.Spec.Resources))
+		free = free.Add(state.ResourcesOf(j.Spec.Resources))
 		chosen = append(chosen, j)
 	}
-	return chosen, need.Fits(free)
+	return chosen, need.FitsIn(free)
 }
 
 func (p *Planner) proposePlacements(batch []*wire.Placement) {
@@ -346,7 +346,7 @@
 			if err != nil {
 				continue
 			}
-			if r.Placed[i] != nil {
+			if r.PlacementErrors[i] != nil {
 				refusedTotal.Inc()
 				continue
 			}
@@ -362,8 +362,8 @@
 func (p *Planner) settle(job string) {
 	pending := p.pending[job]
 	delete(p.pending, job)
-	p.taken[pending.worker] = p.taken[pending.worker].WithOut(pending.need)
-	p.claimed[pending.account] = p.claimed[pending.account].WithOut(pending.need)
+	p.taken[pending.worker] = p.taken[pending.worker].Sub(pending.need)
+	p.claimed[pending.account] = p.claimed[pending.account].Sub(pending.need)
 }
 
 // sendOrder sends an order at once, ahead of the worker's next report.
--- a/internal/sched/plan/planner.go
+++ b/internal/sched/plan/planner.go
@@ -80,7 +80,7 @@
 	pendingPlacement struct {
 		worker  string
 		account string
-		need    state.Amount
+		need    state.Resources
 	}
 
 	// Planner decides for one control replica while it leads.
@@ -91,7 +91,7 @@
 		workers map[string]*attendance
 		pending map[string]pendingPlacement
 		// taken and claimed are the sums of pending, by worker and account.
-		taken, claimed map[string]state.Amount
+		taken, claimed map[string]state.Resources
 		evicting       map[string]uint32
 		losing         map[string]bool
 		health         *health
@@ -119,7 +119,7 @@
 	p.leases = lease.NewTable(since, p.options.Lease, p.options.Overlap)
 	p.workers = map[string]*attendance{}
 	p.pending = map[string]pendingPlacement{}
-	p.taken, p.claimed = map[string]state.Amount{}, map[string]state.Amount{}
+	p.taken, p.claimed = map[string]state.Resources{}, map[string]state.Resources{}
 	p.evicting, p.losing = map[string]uint32{}, map[string]bool{}
 	p.health = newHealth()
 	p.dirty = true
--- a/internal/store/node/node.go
+++ b/internal/store/node/node.go
@@ -68,12 +68,12 @@
 		ID                uint64
 		HeartbeatInterval time.Duration
 		ElectionTimeout   time.Duration
-		SnapshotRecords   uint64
+		SnapshotThreshold uint64
 		Clock             clockwork.Clock
 		// Boot is a clock that also counts the time during which the instance
 		// is suspended, from any fixed moment; package boot's when nil.
-		Boot   func() time.Duration
-		Logger *slog.Logger
+		BootTime func() time.Duration
+		Logger   *slog.Logger
 		// Send hands messages to the transport. It must not block and may
 		// lose them.
 		Send func(to *wire.ControlMember, messages []*wire.PeerMessage)
@@ -82,9 +82,9 @@
 		// members, and must answer the leader all the same.
 		Lookup func(id uint64) *wire.ControlMember
 		// Turn is called on the loop after each turn, with the time.
-		Turn func(now time.Time)
+		AfterIteration func(now time.Time)
 		// Failed is called once when the disk fails. The process must stop.
-		Failed func(error)
+		OnDiskFailure func(error)
 	}
 
 	waiter struct {
@@ -135,7 +135,7 @@
 		// that the round confirms look older than it is, never younger.
 		turnBegan time.Time
 		bootBegan time.Duration
-		// right is what RightToLead tells.
+		// right is what HoldsLeaderLease tells.
 		right atomic.Pointer[leadRight]
 		// writing tells that an output is being written, saving that a snapshot of our
 		// own is; snapshotFile is held while the snapshot's file is.
@@ -150,9 +150,9 @@
 )
 
 // New returns a replica that resumes from what its folder held.
-func New(options Options, log *walog.Log, durable *walog.Durable, machine *state.Machine) (*Node, error) {
-	if options.Boot == nil {
-		options.Boot = boot.Now
+func New(options Options, log *walog.Log, durable *walog.DurableState, machine *state.Machine) (*Node, error) {
+	if options.BootTime == nil {
+		options.BootTime = boot.Now
 	}
 	n := &Node{
 		options: options, log: log, machine: machine,
@@ -170,7 +170,7 @@
 		HeartbeatTicks: ticksPerHeartbeat,
 		ElectionTicks:  int(ticksPerHeartbeat * options.ElectionTimeout / options.HeartbeatInterval),
 		Random:         rand.IntN,
-	}, quorum.Durable{Vote: durable.Vote, Snapshot: durable.Snapshot, Records: durable.Records})
+	}, quorum.DurableState{Vote: durable.Vote, Snapshot: durable.Snapshot, Entries: durable.Entries})
 	return n, nil
 }
 
@@ -201,7 +201,7 @@
 
 func (n *Node) beginTurn() {
 	n.turnBegan = n.options.Clock.Now()
-	n.bootBegan = n.options.Boot()
+	n.bootBegan = n.options.BootTime()
 }
 
 // Stop ends the loop and waits for it, and for what is being written.
@@ -323,19 +323,19 @@
 
 // Leads tells, on the loop, whether this replica leads and has applied all
 // that earlier leaders committed, and since when it leads.
-func (n *Node) Leads() (time.Time, bool) {
+func (n *Node) IsLeader() (time.Time, bool) {
 	ready := n.role == quorum.Leader && n.appliedIn == n.core.Status().Term
 	return n.leaderAt, ready
 }
 
-// SilentFor tells the leader, on the loop, how long ago a replica last answered.
-func (n *Node) SilentFor(id uint64) time.Duration {
-	return time.Duration(n.core.SilentTicks(id)) * n.options.HeartbeatInterval / ticksPerHeartbeat
+// SinceLastResponse tells the leader, on the loop, how long ago a replica last answered.
+func (n *Node) SinceLastResponse(id uint64) time.Duration {
+	return time.Duration(n.core.TicksSinceResponse(id)) * n.options.HeartbeatInterval / ticksPerHeartbeat
 }
 
-// ConfirmedAt is, on the loop, the last moment at which this replica surely
+// LeadershipConfirmedAt is, on the loop, the last moment at which this replica surely
 // led: when the latest round began that a quorum has answered.
-func (n *Node) ConfirmedAt() time.Time { return n.confirmed }
+func (n *Node) LeadershipConfirmedAt() time.Time { return n.confirmed }
 
 // leadRight is a leadership that a quorum confirmed.
 type leadRight struct {
@@ -343,15 +343,15 @@
 	at   time.Duration // by the boot clock
 }
 
-// RightToLead tells, from any goroutine, whether this replica surely leads in
+// HoldsLeaderLease tells, from any goroutine, whether this replica surely leads in
 // the given term at this moment. A quorum has answered a round that began less
 // than an election timeout ago, and gives no vote within that time.
 //
 // It is measured on a clock that counts suspension: an instance that was
 // suspended for seconds would else believe on waking that its last round was
 // answered just now, and send orders beside the next leader.
-func (n *Node) RightToLead(term uint64) bool {
+func (n *Node) HoldsLeaderLease(term uint64) bool {
 	r := n.right.Load()
 	limit := n.options.ElectionTimeout * rightPercent / 100
-	return r != nil && r.term == term && n.options.Boot()-r.at < limit
+	return r != nil && r.term == term && n.options.BootTime()-r.at < limit
 }
--- a/internal/store/node/node_test.go
+++ b/internal/store/node/node_test.go
@@ -46,10 +46,10 @@
 	r := &replica{log: log, failed: make(chan error, 1)}
 	r.node, err = node.New(node.Options{
 		ID: 1, HeartbeatInterval: 10 * time.Millisecond, ElectionTimeout: 20 * time.Millisecond,
-		SnapshotRecords: 20000, Clock: clockwork.NewRealClock(), Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Send:   func(*wire.ControlMember, []*wire.PeerMessage) {},
-		Lookup: func(uint64) *wire.ControlMember { return nil },
-		Failed: func(err error) { r.failed <- err },
+		SnapshotThreshold: 20000, Clock: clockwork.NewRealClock(), Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Send:          func(*wire.ControlMember, []*wire.PeerMessage) {},
+		Lookup:        func(uint64) *wire.ControlMember { return nil },
+		OnDiskFailure: func(err error) { r.failed <- err },
 	}, log, durable, state.New(state.Options{}))
 	assert.NilError(t, err)
 	go r.node.Run()
@@ -61,7 +61,7 @@
 	t.Helper()
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		leads := false
-		assert.NilError(t, r.node.Do(context.Background(), func() { _, leads = r.node.Leads() }))
+		assert.NilError(t, r.node.Do(context.Background(), func() { _, leads = r.node.IsLeader() }))
 		if leads {
 			return
 		}
--- a/internal/store/node/right_test.go
+++ b/internal/store/node/right_test.go
@@ -47,13 +47,13 @@
 	r := &trio{clock: clockwork.NewFakeClock()}
 	r.answering.Store(true)
 	r.node, err = node.New(node.Options{
-		ID: 1, HeartbeatInterval: heartbeat, ElectionTimeout: electionTimeout, SnapshotRecords: 20000,
-		Clock: r.clock, Boot: func() time.Duration { return time.Duration(r.boot.Load()) },
-		Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Send:   r.answer,
-		Lookup: func(uint64) *wire.ControlMember { return nil },
-		Turn:   func(time.Time) { r.turns.Add(1) },
-		Failed: func(err error) { t.Error(err) },
+		ID: 1, HeartbeatInterval: heartbeat, ElectionTimeout: electionTimeout, SnapshotThreshold: 20000,
+		Clock: r.clock, BootTime: func() time.Duration { return time.Duration(r.boot.Load()) },
+		Logger:         slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Send:           r.answer,
+		Lookup:         func(uint64) *wire.ControlMember { return nil },
+		AfterIteration: func(time.Time) { r.turns.Add(1) },
+		OnDiskFailure:  func(err error) { t.Error(err) },
 	}, log, durable, state.New(state.Options{}))
 	assert.NilError(t, err)
 	go r.node.Run()
@@ -91,11 +91,11 @@
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); {
 		term := uint64(0)
 		assert.NilError(t, r.node.Do(context.Background(), func() {
-			if _, leads := r.node.Leads(); leads {
+			if _, leads := r.node.IsLeader(); leads {
 				term = r.node.Core().Status().Term
 			}
 		}))
-		if term != 0 && r.node.RightToLead(term) {
+		if term != 0 && r.node.HoldsLeaderLease(term) {
 			return term
 		}
 		r.advance(heartbeat / 2)
@@ -135,9 +135,9 @@
 		r.settle(t)
 		var confirmed time.Duration
 		assert.NilError(t, r.node.Do(context.Background(), func() {
-			confirmed = r.clock.Since(r.node.ConfirmedAt())
+			confirmed = r.clock.Since(r.node.LeadershipConfirmedAt())
 		}))
-		assert.Assert(t, !r.node.RightToLead(term), "the right to lead was renewed, as of %v ago", confirmed)
+		assert.Assert(t, !r.node.HoldsLeaderLease(term), "the right to lead was renewed, as of %v ago", confirmed)
 	}
 }
 
@@ -149,12 +149,12 @@
 	r.answering.Store(false)
 	r.settle(t)
 	before := time.Time{}
-	assert.NilError(t, r.node.Do(context.Background(), func() { before = r.node.ConfirmedAt() }))
+	assert.NilError(t, r.node.Do(context.Background(), func() { before = r.node.LeadershipConfirmedAt() }))
 	r.clock.Advance(heartbeat / 4) // less than a tick
 	for range 3 {
 		r.settle(t)
 		after := time.Time{}
-		assert.NilError(t, r.node.Do(context.Background(), func() { after = r.node.ConfirmedAt() }))
+		assert.NilError(t, r.node.Do(context.Background(), func() { after = r.node.LeadershipConfirmedAt() }))
 		assert.Assert(t, after.Equal(before), "confirmed %v later without an answer", after.Sub(before))
 	}
 }
--- a/internal/store/node/turn.go
+++ b/internal/store/node/turn.go
@@ -27,8 +27,8 @@
 	n.noteRole()
 	n.answerReads()
 	n.maybeSnapshot()
-	if n.options.Turn != nil && !n.failed {
-		n.options.Turn(n.options.Clock.Now())
+	if n.options.AfterIteration != nil && !n.failed {
+		n.options.AfterIteration(n.options.Clock.Now())
 	}
 	if len(n.proposals) > 0 {
 		// Proposed by Turn; without this they would wait for the next tick.
@@ -69,28 +69,28 @@
 // each commit. But only for as long as a leader may be silent anyway: one whose disk
 // hangs must be missed by the others, or it would go on leading and commit nothing.
 func (n *Node) pass() bool {
-	committed := n.core.TakeCommitted()
+	committed := n.core.NextCommittedEntries()
 	for _, r := range committed {
 		n.apply(r)
 	}
 	if n.writing {
-		if n.options.Boot()-n.writeBegan < n.options.HeartbeatInterval {
-			n.send(n.core.TakeEarly())
+		if n.options.BootTime()-n.writeBegan < n.options.HeartbeatInterval {
+			n.send(n.core.NextAppends())
 		}
 		return len(committed) > 0
 	}
-	out := n.core.Take()
-	n.send(out.Early)
-	if out.Vote == nil && out.Snapshot == nil && len(out.Records) == 0 {
+	out := n.core.Ready()
+	n.send(out.Appends)
+	if out.Vote == nil && out.Snapshot == nil && len(out.Entries) == 0 {
 		n.finish(out)
-		return len(out.Early)+len(out.Messages)+len(committed) > 0
+		return len(out.Appends)+len(out.Messages)+len(committed) > 0
 	}
 	n.write(func() error { return n.persist(out) }, func() { n.finish(out) })
 	return false
 }
 
 // finish does what may be done once an output is on the disk.
-func (n *Node) finish(out quorum.Output) {
+func (n *Node) finish(out quorum.Ready) {
 	n.core.Synced(out)
 	n.send(out.Messages)
 	if out.Snapshot != nil {
@@ -103,7 +103,7 @@
 // did nothing else for nine tenths of its time at 150 syncs a second of 6 ms, and all
 // that it was asked and told meanwhile waited.
 func (n *Node) write(job func() error, done func()) {
-	n.writing, n.writeBegan = true, n.options.Boot()
+	n.writing, n.writeBegan = true, n.options.BootTime()
 	n.writes.Go(func() {
 		err := job()
 		n.Post(func() {
@@ -127,11 +127,11 @@
 	}
 	index := n.covered
 	n.covered = 0
-	n.write(func() error { return n.log.DropCovered(index, false) }, func() {})
+	n.write(func() error { return n.log.Compact(index, false) }, func() {})
 }
 
 // persist runs beside the loop.
-func (n *Node) persist(out quorum.Output) error {
+func (n *Node) persist(out quorum.Ready) error {
 	if out.Vote != nil {
 		if err := n.log.SaveVote(out.Vote); err != nil {
 			return err
@@ -142,11 +142,11 @@
 			return err
 		}
 	}
-	if len(out.Records) == 0 {
+	if len(out.Entries) == 0 {
 		return nil
 	}
 	began := time.Now()
-	err := n.log.Append(out.Records)
+	err := n.log.Append(out.Entries)
 	syncSeconds.UpdateDuration(began)
 	syncsTotal.Inc()
 	return err
@@ -158,7 +158,7 @@
 	if err := n.log.WriteSnapshot(s); err != nil {
 		return err
 	}
-	return n.log.DropCovered(s.Index, true)
+	return n.log.Compact(s.Index, true)
 }
 
 // fail stops the replica's part in the log for good: see package walog on why
@@ -167,7 +167,7 @@
 	n.failed = true
 	n.failAll(ErrUncertain)
 	n.options.Logger.Error("disk failed; this replica stops", "error", err)
-	n.options.Failed(err)
+	n.options.OnDiskFailure(err)
 }
 
 func (n *Node) send(messages []*wire.PeerMessage) {
@@ -259,7 +259,7 @@
 // from before it, and send orders beside the next leader.
 func (n *Node) noteRounds() {
 	status := n.core.Status()
-	if status.Role != quorum.Leader || status.HandingOver {
+	if status.Role != quorum.Leader || status.TransferringLeadership {
 		n.right.Store(nil)
 	}
 	if status.Role != quorum.Leader {
@@ -272,7 +272,7 @@
 	}
 	for len(n.rounds) > 0 && n.rounds[0].round <= status.ConfirmedRound {
 		n.confirmed = n.rounds[0].at
-		if !status.HandingOver {
+		if !status.TransferringLeadership {
 			n.right.Store(&leadRight{term: status.Term, at: n.rounds[0].boot})
 		}
 		n.rounds = n.rounds[1:]
@@ -310,7 +310,7 @@
 // is serialized on the loop and written beside it.
 func (n *Node) maybeSnapshot() {
 	status := n.core.Status()
-	if n.saving || n.failed || n.appliedTo < status.FirstIndex || n.appliedTo-status.FirstIndex+1 < n.options.SnapshotRecords {
+	if n.saving || n.failed || n.appliedTo < status.FirstIndex || n.appliedTo-status.FirstIndex+1 < n.options.SnapshotThreshold {
 		return
 	}
 	data, err := n.machine.Save()
--- a/internal/store/peers/found.go
+++ b/internal/store/peers/found.go
@@ -32,10 +32,10 @@
 // identity when its folder is new, the membership lists identities and not
 // names, and a new folder founds a cluster only if every founding member
 // answers that it is new too.
-type Founder struct {
-	Self    *wire.ControlMember
-	Members []*wire.ControlMember // founding members; their ids aren't known
-	Pool    *link.Pool
+type Bootstrapper struct {
+	Self           *wire.ControlMember
+	InitialMembers []*wire.ControlMember // founding members; their ids aren't known
+	Pool           *link.Pool
 	// JoinOnly forbids founding: the system was founded before, and whoever
 	// can't be reached now may hold its state.
 	JoinOnly bool
@@ -53,22 +53,22 @@
 }
 
 // SetMembership tells the founder the membership now in force.
-func (f *Founder) SetMembership(m *wire.Membership) {
+func (f *Bootstrapper) SetMembership(m *wire.Membership) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.membership = m
 }
 
-// AddSeeds adds replicas to ask about an existing cluster. They take no part in
+// SetSeeds adds replicas to ask about an existing cluster. They take no part in
 // founding one: who founds was settled by the first settings.
-func (f *Founder) AddSeeds(members []*wire.ControlMember) {
+func (f *Bootstrapper) SetSeeds(members []*wire.ControlMember) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.seeds = members
 }
 
 // Identify answers another replica and notes it if it waits to be let in.
-func (f *Founder) Identify(r *wire.IdentifyRequest) *wire.IdentifyResponse {
+func (f *Bootstrapper) Identify(r *wire.IdentifyRequest) *wire.IdentifyResponse {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if from := r.GetFrom(); from.GetReplicaId() != 0 && f.membership != nil && !lists(f.membership, from.ReplicaId) {
@@ -81,7 +81,7 @@
 }
 
 // Waiting lists the replicas that lately asked and aren't members.
-func (f *Founder) Waiting() []*wire.ControlMember {
+func (f *Bootstrapper) PendingJoins() []*wire.ControlMember {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var members []*wire.ControlMember
@@ -98,7 +98,7 @@
 
 // Found blocks until this replica knows its cluster and returns the membership
 // to start from. That lists no members if this replica has to be let in first.
-func (f *Founder) Found(ctx context.Context) (*wire.Membership, error) {
+func (f *Bootstrapper) Bootstrap(ctx context.Context) (*wire.Membership, error) {
 	for {
 		if m := f.tryFound(ctx); m != nil {
 			return m, nil
@@ -111,7 +111,7 @@
 	}
 }
 
-func (f *Founder) tryFound(ctx context.Context) *wire.Membership {
+func (f *Bootstrapper) tryFound(ctx context.Context) *wire.Membership {
 	founding := []*wire.ControlMember{voter(f.Self)}
 	answers := f.askFounders(ctx)
 	for _, answer := range append(answers, f.askSeeds(ctx)...) {
@@ -124,7 +124,7 @@
 			founding = append(founding, voter(answer.Self))
 		}
 	}
-	if f.JoinOnly || !f.founds() || len(founding) < len(f.Members) {
+	if f.JoinOnly || !f.founds() || len(founding) < len(f.InitialMembers) {
 		return nil // the silent ones may have state
 	}
 	sort.Slice(founding, func(i, j int) bool { return founding[i].Name < founding[j].Name })
@@ -133,12 +133,12 @@
 
 // askFounders asks the founding members; nil stands for those that didn't
 // answer.
-func (f *Founder) askFounders(ctx context.Context) []*wire.IdentifyResponse {
-	return f.askAll(ctx, f.Members)
+func (f *Bootstrapper) askFounders(ctx context.Context) []*wire.IdentifyResponse {
+	return f.askAll(ctx, f.InitialMembers)
 }
 
 // askAll asks at once, since each silent replica costs a timeout.
-func (f *Founder) askAll(ctx context.Context, members []*wire.ControlMember) []*wire.IdentifyResponse {
+func (f *Bootstrapper) askAll(ctx context.Context, members []*wire.ControlMember) []*wire.IdentifyResponse {
 	answers := make([]*wire.IdentifyResponse, len(members))
 	var asked sync.WaitGroup
 	for i, m := range members {
@@ -151,7 +151,7 @@
 }
 
 // askSeeds asks those whom later settings name, for an existing cluster.
-func (f *Founder) askSeeds(ctx context.Context) []*wire.IdentifyResponse {
+func (f *Bootstrapper) askSeeds(ctx context.Context) []*wire.IdentifyResponse {
 	f.mu.Lock()
 	seeds := f.seeds
 	f.mu.Unlock()
@@ -160,8 +160,8 @@
 
 // founds tells whether this replica is one of the founding members. Others
 // join what those have founded.
-func (f *Founder) founds() bool {
-	for _, m := range f.Members {
+func (f *Bootstrapper) founds() bool {
+	for _, m := range f.InitialMembers {
 		if m.Address == f.Self.Address {
 			return true
 		}
@@ -171,7 +171,7 @@
 
 // Announce tells all replicas known that this one waits to be let in. Any of
 // them may lead, and the founding members may be gone by now.
-func (f *Founder) Announce(ctx context.Context) {
+func (f *Bootstrapper) RequestJoin(ctx context.Context) {
 	var asked sync.WaitGroup
 	for _, address := range f.addresses() {
 		asked.Go(func() { f.ask(ctx, address) })
@@ -179,7 +179,7 @@
 	asked.Wait()
 }
 
-func (f *Founder) addresses() []string {
+func (f *Bootstrapper) addresses() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	seen := map[string]bool{f.Self.Address: true}
@@ -190,7 +190,7 @@
 			addresses = append(addresses, m.GetAddress())
 		}
 	}
-	for _, m := range f.Members {
+	for _, m := range f.InitialMembers {
 		add(m)
 	}
 	for _, m := range f.seeds {
@@ -205,7 +205,7 @@
 	return addresses
 }
 
-func (f *Founder) ask(ctx context.Context, address string) *wire.IdentifyResponse {
+func (f *Bootstrapper) ask(ctx context.Context, address string) *wire.IdentifyResponse {
 	conn, err := f.Pool.Conn(address)
 	if err != nil {
 		return nil
@@ -225,7 +225,7 @@
 	return answer
 }
 
-func (f *Founder) learn(m *wire.ControlMember) {
+func (f *Bootstrapper) learn(m *wire.ControlMember) {
 	if f.known == nil {
 		f.known = map[uint64]*wire.ControlMember{}
 	}
@@ -234,7 +234,7 @@
 
 // Lookup finds a replica by its identity among those heard of; nil when it is
 // unknown.
-func (f *Founder) Lookup(id uint64) *wire.ControlMember {
+func (f *Bootstrapper) Lookup(id uint64) *wire.ControlMember {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.known[id]
--- a/internal/store/quorum/core.go
+++ b/internal/store/quorum/core.go
@@ -48,10 +48,10 @@
 	}
 
 	// Durable is what a replica has on its disk when it starts.
-	Durable struct {
+	DurableState struct {
 		Vote     *wire.Vote
 		Snapshot *wire.Snapshot
-		Records  []*wire.LogRecord
+		Entries  []*wire.LogRecord
 	}
 
 	// Output is what the driver has to do, in this order: send Early, sync
@@ -59,13 +59,13 @@
 	// Snapshot. While it syncs, Core may be given messages, ticks
 	// and proposals, but no other Output is taken: to all others a replica whose
 	// disk is slow is one whose messages are.
-	Output struct {
+	Ready struct {
 		Vote     *wire.Vote
 		Snapshot *wire.Snapshot
-		Records  []*wire.LogRecord
+		Entries  []*wire.LogRecord
 		// Early holds the leader's appends: they promise nothing about its
 		// own disk, so they may leave while it is being synced.
-		Early    []*wire.PeerMessage
+		Appends  []*wire.PeerMessage
 		Messages []*wire.PeerMessage
 	}
 
@@ -152,10 +152,10 @@
 }
 
 // New returns the replica that the durable state describes, as a follower.
-func New(options Options, durable Durable) *Core {
+func New(options Options, durable DurableState) *Core {
 	c := &Core{
 		options:  options,
-		records:  durable.Records,
+		records:  durable.Entries,
 		snapshot: durable.Snapshot,
 		peers:    map[uint64]*progress{},
 	}
@@ -177,31 +177,31 @@
 }
 
 // Take gives all that has become due since the last call.
-func (c *Core) Take() Output {
-	out := Output{Snapshot: c.installed, Early: c.early, Messages: c.messages}
+func (c *Core) Ready() Ready {
+	out := Ready{Snapshot: c.installed, Appends: c.early, Messages: c.messages}
 	if c.voteDirty {
 		out.Vote = &wire.Vote{Term: c.term, VotedFor: c.votedFor, ReplicaId: c.options.ID}
 	}
 	if c.firstUnsynced <= c.LastIndex() {
-		out.Records = append(out.Records, c.slice(c.firstUnsynced, c.LastIndex())...)
+		out.Entries = append(out.Entries, c.slice(c.firstUnsynced, c.LastIndex())...)
 	}
 	c.voteDirty, c.installed, c.early, c.messages = false, nil, nil, nil
 	c.firstUnsynced = c.LastIndex() + 1
 	return out
 }
 
-// TakeEarly gives the leader's appends alone. Unlike Take it may be called while an
+// NextAppends gives the leader's appends alone. Unlike Take it may be called while an
 // Output is synced: what it gives promises nothing about this replica's disk.
-func (c *Core) TakeEarly() []*wire.PeerMessage {
+func (c *Core) NextAppends() []*wire.PeerMessage {
 	early := c.early
 	c.early = nil
 	return early
 }
 
-// TakeCommitted gives the records to apply: those that are committed, are on this
+// NextCommittedEntries gives the records to apply: those that are committed, are on this
 // replica's disk and weren't given before. Unlike Take it may be called while an
 // Output is synced.
-func (c *Core) TakeCommitted() []*wire.LogRecord {
+func (c *Core) NextCommittedEntries() []*wire.LogRecord {
 	last := min(c.commit, c.synced)
 	if c.installed != nil || c.applied >= last {
 		return nil
@@ -213,11 +213,11 @@
 
 // Synced says that the output's records are on disk. Only from then on does a
 // leader count itself among those that hold them.
-func (c *Core) Synced(out Output) {
-	if len(out.Records) == 0 {
+func (c *Core) Synced(out Ready) {
+	if len(out.Entries) == 0 {
 		return
 	}
-	last := out.Records[len(out.Records)-1]
+	last := out.Entries[len(out.Entries)-1]
 	if c.termAt(last.Index) != last.Term {
 		return // replaced meanwhile by records of another leader
 	}
@@ -246,8 +246,8 @@
 	FirstIndex, LastIndex   uint64
 	// Round is the last heartbeat round sent; ConfirmedRound the last one
 	// that a quorum of voters has answered.
-	Round, ConfirmedRound uint64
-	HandingOver           bool
+	Round, ConfirmedRound  uint64
+	TransferringLeadership bool
 }
 
 // Status returns the present view.
@@ -256,7 +256,7 @@
 		Role: c.role, Term: c.term, Leader: c.leader,
 		Commit: c.commit, Applied: c.applied, Synced: c.synced,
 		FirstIndex: c.snapshot.Index + 1, LastIndex: c.LastIndex(),
-		Round: c.round, ConfirmedRound: c.confirmedRound(), HandingOver: c.handover != 0,
+		Round: c.round, ConfirmedRound: c.confirmedRound(), TransferringLeadership: c.handover != 0,
 	}
 }
 
--- a/internal/store/quorum/elect.go
+++ b/internal/store/quorum/elect.go
@@ -196,7 +196,7 @@
 // the leader costs a round trip and not an election timeout. From this call on
 // the leader must grant no leases, because the other may lead at any moment.
 // It returns false when there is none to hand over to.
-func (c *Core) Handover() bool {
+func (c *Core) TransferLeadership() bool {
 	if c.role != Leader {
 		return false
 	}
--- a/internal/store/quorum/member.go
+++ b/internal/store/quorum/member.go
@@ -23,9 +23,9 @@
 	ErrUnknownMember = errors.New("quorum: no such member")
 	// ErrLastVoter: the change would leave no voter.
 	ErrLastVoter = errors.New("quorum: the last voter can't be removed")
-	// ErrBehind: a learner may vote only once it holds nearly all records, or
+	// ErrLearnerNotReady: a learner may vote only once it holds nearly all records, or
 	// its vote would stop commitment until it does.
-	ErrBehind = errors.New("quorum: learner is still behind")
+	ErrLearnerNotReady = errors.New("quorum: learner is still behind")
 )
 
 // maxPromoteLag is how many records a learner may lack when it is promoted.
@@ -82,9 +82,9 @@
 	})
 }
 
-// SilentTicks tells the leader how many ticks ago a replica last answered; 0
+// TicksSinceResponse tells the leader how many ticks ago a replica last answered; 0
 // for itself and for replicas that it doesn't know.
-func (c *Core) SilentTicks(id uint64) int {
+func (c *Core) TicksSinceResponse(id uint64) int {
 	if p := c.peers[id]; p != nil && id != c.options.ID {
 		return p.silentTicks
 	}
@@ -92,7 +92,7 @@
 }
 
 // CaughtUp tells whether a replica holds nearly all records: nil, or
-// ErrBehind.
+// ErrLearnerNotReady.
 func (c *Core) CaughtUp(id uint64) error {
 	p := c.peers[id]
 	switch {
@@ -101,7 +101,7 @@
 	case p == nil:
 		return ErrUnknownMember
 	case p.match+maxPromoteLag < c.LastIndex() || p.match < c.snapshot.Index:
-		return ErrBehind
+		return ErrLearnerNotReady
 	default:
 		return nil
 	}
@@ -109,7 +109,7 @@
 
 // Settled tells whether the last change of membership is committed: nil, or
 // ErrChangePending.
-func (c *Core) Settled() error {
+func (c *Core) MembershipCommitted() error {
 	switch {
 	case c.role != Leader:
 		return ErrNotLeader
--- a/internal/store/quorum/quorum_test.go
+++ b/internal/store/quorum/quorum_test.go
@@ -144,7 +144,7 @@
 	}
 	for range 10000 {
 		isolated.core.Tick()
-		isolated.core.Take() // all it says is lost
+		isolated.core.Ready() // all it says is lost
 	}
 	assert.Equal(t, isolated.core.Status().Term, term)
 	s.settle()
@@ -159,7 +159,7 @@
 	leader := leaderOf(t, s)
 	for range 25 {
 		leader.core.Tick()
-		leader.core.Take()
+		leader.core.Ready()
 	}
 	assert.Assert(t, leader.core.Status().Role != quorum.Leader)
 }
@@ -173,15 +173,15 @@
 	s := newTestCluster(t)
 	leader := leaderOf(t, s)
 	stranger := quorum.New(quorum.Options{ID: 99, ElectionTicks: 10, HeartbeatTicks: 2, Random: func(int) int { return 0 }},
-		quorum.Durable{Snapshot: &wire.Snapshot{Membership: &wire.Membership{ClusterId: 9}}})
+		quorum.DurableState{Snapshot: &wire.Snapshot{Membership: &wire.Membership{ClusterId: 9}}})
 	for range 100 {
 		stranger.Tick()
 	}
-	assert.Equal(t, len(stranger.Take().Messages), 0, "a replica that isn't a voter stands for election")
+	assert.Equal(t, len(stranger.Ready().Messages), 0, "a replica that isn't a voter stands for election")
 	stranger.Step(&wire.PeerMessage{
 		Kind: wire.PeerMessageKind_PEER_MESSAGE_KIND_VOTE, From: 1, To: 2, Term: 50, ClusterId: 9,
 	})
-	assert.Equal(t, len(stranger.Take().Messages), 0, "a message to the old identity is answered")
+	assert.Equal(t, len(stranger.Ready().Messages), 0, "a message to the old identity is answered")
 	_, confirmed := leader.core.Status().Round, leader.core.Status().ConfirmedRound
 	leader.core.Heartbeat()
 	leader.core.Step(&wire.PeerMessage{
@@ -207,7 +207,7 @@
 		membership.Members = append(membership.Members, &wire.ControlMember{ReplicaId: id, Voter: true})
 	}
 	c := quorum.New(quorum.Options{ID: 1, ElectionTicks: 10, HeartbeatTicks: 2, Random: func(int) int { return 0 }},
-		quorum.Durable{Vote: &wire.Vote{Term: 1}, Snapshot: &wire.Snapshot{Membership: membership}, Records: records})
+		quorum.DurableState{Vote: &wire.Vote{Term: 1}, Snapshot: &wire.Snapshot{Membership: membership}, Entries: records})
 	for range 10 {
 		c.Tick()
 	}
@@ -225,7 +225,7 @@
 // crashes. Only Synced may make its copy count.
 func TestLeaderCountsItselfOnlyOnceSynced(t *testing.T) {
 	c := lead(t, nil)
-	out := c.Take()
+	out := c.Ready()
 	c.Step(answer(2, c, 1))
 	assert.Equal(t, c.Status().Commit, uint64(0))
 	c.Synced(out)
@@ -239,7 +239,7 @@
 func TestLateSnapshotKeepsWhatFollows(t *testing.T) {
 	membership := &wire.Membership{ClusterId: 9, Members: []*wire.ControlMember{{ReplicaId: 1, Voter: true}, {ReplicaId: 2, Voter: true}}}
 	c := quorum.New(quorum.Options{ID: 1, ElectionTicks: 10, HeartbeatTicks: 2, Random: func(int) int { return 0 }},
-		quorum.Durable{Vote: &wire.Vote{Term: 1}, Snapshot: &wire.Snapshot{Membership: membership}})
+		quorum.DurableState{Vote: &wire.Vote{Term: 1}, Snapshot: &wire.Snapshot{Membership: membership}})
 	fromLeader := func(m *wire.PeerMessage) *wire.PeerMessage {
 		m.From, m.To, m.Term, m.ClusterId = 2, 1, 1, 9
 		return m
@@ -247,14 +247,14 @@
 	c.Step(fromLeader(&wire.PeerMessage{Kind: wire.PeerMessageKind_PEER_MESSAGE_KIND_APPEND, Records: []*wire.LogRecord{
 		{Index: 1, Term: 1}, {Index: 2, Term: 1}, {Index: 3, Term: 1},
 	}}))
-	c.Synced(c.Take())
+	c.Synced(c.Ready())
 	c.Step(fromLeader(&wire.PeerMessage{
 		Kind: wire.PeerMessageKind_PEER_MESSAGE_KIND_SNAPSHOT, Snapshot: &wire.Snapshot{Index: 2, Term: 1, Membership: membership},
 	}))
 	assert.Equal(t, c.Status().LastIndex, uint64(3))
 	assert.Equal(t, c.Status().Commit, uint64(2))
-	assert.Assert(t, c.Take().Snapshot == nil)
-	assert.Equal(t, len(c.TakeCommitted()), 2)
+	assert.Assert(t, c.Ready().Snapshot == nil)
+	assert.Equal(t, len(c.NextCommittedEntries()), 2)
 }
 
 // Symptom: a record that was committed is replaced (figure 8 of the Raft
@@ -263,7 +263,7 @@
 // it. Cause: only a record of the leader's own term may be counted.
 func TestOldTermIsNotCommittedByCounting(t *testing.T) {
 	c := lead(t, []*wire.LogRecord{{Index: 1, Term: 1}})
-	c.Synced(c.Take())
+	c.Synced(c.Ready())
 	c.Step(answer(2, c, 1))
 	assert.Equal(t, c.Status().Commit, uint64(0))
 	c.Step(answer(2, c, 2))
@@ -295,26 +295,26 @@
 // the first.
 func TestRefusalsOfOneLossResendOnce(t *testing.T) {
 	c := lead(t, nil)
-	c.Synced(c.Take())
+	c.Synced(c.Ready())
 	c.Step(answer(2, c, 1))
 	c.Step(answer(3, c, 1))
-	c.Take()
+	c.Ready()
 	const lost = 50
 	for range lost {
 		c.Propose([]*wire.Command{bigCommand()})
-		c.Synced(c.Take())
+		c.Synced(c.Ready())
 	}
 	resent := 0
 	for i := range uint64(lost - 1) {
 		refusal := answer(2, c, 1)
 		refusal.Reject, refusal.AskedIndex = true, i+2
 		c.Step(refusal)
-		resent += recordBytes(c.Take().Early, 2)
+		resent += recordBytes(c.Ready().Appends, 2)
 	}
 	accepted := answer(2, c, 1)
 	accepted.AskedIndex = 1
 	c.Step(accepted)
-	resent += recordBytes(c.Take().Early, 2)
+	resent += recordBytes(c.Ready().Appends, 2)
 	assert.Assert(t, resent > 0, "nothing was sent again")
 	assert.Assert(t, resent < 2*lost*(41<<10), "%d bytes were sent again for %d bytes lost", resent, lost*(40<<10))
 }
@@ -323,17 +323,17 @@
 // bound on the bytes that are under way to it.
 func TestBytesInFlightAreBounded(t *testing.T) {
 	c := lead(t, nil)
-	c.Synced(c.Take())
+	c.Synced(c.Ready())
 	c.Step(answer(2, c, 1))
-	c.Take()
+	c.Ready()
 	sent := 0
 	for i := range uint64(1000) {
 		c.Propose([]*wire.Command{bigCommand()})
-		out := c.Take()
+		out := c.Ready()
 		c.Synced(out)
-		sent += recordBytes(out.Early, 3)
+		sent += recordBytes(out.Appends, 3)
 		c.Step(answer(2, c, i+2))
-		c.Take()
+		c.Ready()
 	}
 	assert.Assert(t, sent < 6<<20, "%d bytes are under way to a silent replica", sent)
 	assert.Equal(t, c.Status().Commit, uint64(1001))
@@ -349,10 +349,10 @@
 		membership.Members = append(membership.Members, &wire.ControlMember{ReplicaId: id, Voter: true})
 	}
 	restarted := quorum.New(quorum.Options{ID: 1, ElectionTicks: 10, HeartbeatTicks: 2, Random: func(int) int { return 9 }},
-		quorum.Durable{Vote: &wire.Vote{Term: 4}, Snapshot: &wire.Snapshot{Membership: membership}})
+		quorum.DurableState{Vote: &wire.Vote{Term: 4}, Snapshot: &wire.Snapshot{Membership: membership}})
 	granted := func() bool {
 		restarted.Step(&wire.PeerMessage{Kind: wire.PeerMessageKind_PEER_MESSAGE_KIND_VOTE, From: 2, To: 1, Term: 5, ClusterId: 9})
-		for _, m := range restarted.Take().Messages {
+		for _, m := range restarted.Ready().Messages {
 			if !m.Reject {
 				return true
 			}
--- a/internal/store/quorum/sim_test.go
+++ b/internal/store/quorum/sim_test.go
@@ -50,7 +50,7 @@
 		waiters map[uint64]simWaiter
 		reads   []simRead
 		// writing is what is being synced; nil when nothing is.
-		writing *quorum.Output
+		writing *quorum.Ready
 		applied uint64
 		inTerm  uint64
 	}
@@ -104,7 +104,7 @@
 	r.applied, r.inTerm = disk.snapshot.Index, disk.snapshot.Term
 	r.core = quorum.New(quorum.Options{
 		ID: id, ElectionTicks: 10, HeartbeatTicks: 2, Random: s.random.IntN,
-	}, quorum.Durable{Vote: disk.vote, Snapshot: disk.snapshot, Records: slices.Clone(disk.records)})
+	}, quorum.DurableState{Vote: disk.vote, Snapshot: disk.snapshot, Entries: slices.Clone(disk.records)})
 	s.replicas[id] = r
 	delete(s.down, id)
 }
@@ -266,8 +266,8 @@
 // between any two of its steps, which loses what wasn't synced.
 func (s *sim) flush(r *simReplica) {
 	if r.writing == nil {
-		out := r.core.Take()
-		s.network = append(s.network, out.Early...)
+		out := r.core.Ready()
+		s.network = append(s.network, out.Appends...)
 		r.writing = &out
 	}
 	if s.chance(s.faults.crash) {
@@ -276,9 +276,9 @@
 	}
 	if s.chance(s.faults.slowDisk) {
 		if s.chance(0.5) {
-			s.network = append(s.network, r.core.TakeEarly()...)
+			s.network = append(s.network, r.core.NextAppends()...)
 		}
-		s.applyAll(r, r.core.TakeCommitted())
+		s.applyAll(r, r.core.NextCommittedEntries())
 		s.afterFlush(r)
 		return
 	}
@@ -290,8 +290,8 @@
 	if out.Snapshot != nil {
 		r.disk.snapshot, r.disk.records = out.Snapshot, nil
 	}
-	if len(out.Records) > 0 {
-		r.disk.append(out.Records)
+	if len(out.Entries) > 0 {
+		r.disk.append(out.Entries)
 	}
 	if s.chance(s.faults.crash) {
 		s.crash(r)
@@ -304,7 +304,7 @@
 		s.check(r.machine.Load(out.Snapshot.State) == nil, "replica %d: snapshot can't be loaded", r.id)
 		r.applied, r.inTerm = out.Snapshot.Index, out.Snapshot.Term
 	}
-	s.applyAll(r, r.core.TakeCommitted())
+	s.applyAll(r, r.core.NextCommittedEntries())
 	s.afterFlush(r)
 }
 
@@ -415,7 +415,7 @@
 		return
 	}
 	if s.chance(s.faults.handover) {
-		r.core.Handover()
+		r.core.TransferLeadership()
 	}
 	if s.chance(s.faults.replace) {
 		s.changeMembers(r)
--- a/internal/store/rules/rules.go
+++ b/internal/store/rules/rules.go
@@ -32,7 +32,7 @@
 }
 
 // Check returns an *Error for the first field that isn't right.
-func Check(c *wire.Configuration) error {
+func Validate(c *wire.Configuration) error {
 	if c == nil {
 		return &Error{"Configuration", "is missing"}
 	}
--- a/internal/store/state/amount.go
+++ b/internal/store/state/amount.go
@@ -9,30 +9,30 @@
 )
 
 // Amount is an immutable quantity of the resources that tasks hold.
-type Amount struct {
+type Resources struct {
 	MilliProcessors uint64
 	MemoryBytes     uint64
 	Accelerators    uint64
 }
 
-// AmountOf turns the message into an Amount; nil is nothing.
-func AmountOf(r *wire.Resources) Amount {
-	return Amount{r.GetMilliProcessors(), r.GetMemoryBytes(), r.GetAccelerators()}
+// ResourcesOf turns the message into an Amount; nil is nothing.
+func ResourcesOf(r *wire.Resources) Resources {
+	return Resources{r.GetMilliProcessors(), r.GetMemoryBytes(), r.GetAccelerators()}
 }
 
 // Message turns the amount into its message.
-func (a Amount) Message() *wire.Resources {
+func (a Resources) ToProto() *wire.Resources {
 	return &wire.Resources{MilliProcessors: a.MilliProcessors, MemoryBytes: a.MemoryBytes, Accelerators: a.Accelerators}
 }
 
 // With returns the sum.
-func (a Amount) With(b Amount) Amount {
-	return Amount{a.MilliProcessors + b.MilliProcessors, a.MemoryBytes + b.MemoryBytes, a.Accelerators + b.Accelerators}
+func (a Resources) Add(b Resources) Resources {
+	return Resources{a.MilliProcessors + b.MilliProcessors, a.MemoryBytes + b.MemoryBytes, a.Accelerators + b.Accelerators}
 }
 
-// WithOut returns the difference; what would be below nothing is nothing.
-func (a Amount) WithOut(b Amount) Amount {
-	return Amount{
+// Sub returns the difference; what would be below nothing is nothing.
+func (a Resources) Sub(b Resources) Resources {
+	return Resources{
 		below(a.MilliProcessors, b.MilliProcessors),
 		below(a.MemoryBytes, b.MemoryBytes),
 		below(a.Accelerators, b.Accelerators),
@@ -40,19 +40,19 @@
 }
 
 // Fits tells whether a is at most b in every resource.
-func (a Amount) Fits(b Amount) bool {
+func (a Resources) FitsIn(b Resources) bool {
 	return a.MilliProcessors <= b.MilliProcessors && a.MemoryBytes <= b.MemoryBytes && a.Accelerators <= b.Accelerators
 }
 
 // FitsQuota is Fits where a resource of the quota that is 0 has no bound.
-func (a Amount) FitsQuota(quota Amount) bool {
+func (a Resources) FitsQuota(quota Resources) bool {
 	return (quota.MilliProcessors == 0 || a.MilliProcessors <= quota.MilliProcessors) &&
 		(quota.MemoryBytes == 0 || a.MemoryBytes <= quota.MemoryBytes) &&
 		(quota.Accelerators == 0 || a.Accelerators <= quota.Accelerators)
 }
 
 // DominantShare is the largest part of any resource of the whole that a is.
-func (a Amount) DominantShare(whole Amount) float64 {
+func (a Resources) DominantShare(whole Resources) float64 {
 	return max(
 		part(a.MilliProcessors, whole.MilliProcessors),
 		part(a.MemoryBytes, whole.MemoryBytes),
@@ -61,7 +61,7 @@
 }
 
 // String is for reasons shown to people.
-func (a Amount) String() string {
+func (a Resources) String() string {
 	return fmt.Sprintf("%d milliprocessors, %d bytes, %d accelerators", a.MilliProcessors, a.MemoryBytes, a.Accelerators)
 }
 
--- a/internal/store/state/apply.go
+++ b/internal/store/state/apply.go
@@ -14,18 +14,18 @@
 
 // Why a command changes nothing. The texts reach callers.
 var (
-	ErrUnknownJob     = errors.New("no such job")
-	ErrUnknownWorker  = errors.New("no such worker incarnation")
-	ErrSuperseded     = errors.New("the attempt is superseded")
-	ErrNotQueued      = errors.New("the job isn't queued")
-	ErrNoRoom         = errors.New("the worker's resources don't suffice")
-	ErrQuota          = errors.New("the client account's quota doesn't suffice")
-	ErrQuarantined    = errors.New("the worker is quarantined")
-	ErrUnknownKind    = errors.New("no such job kind in the client account")
-	ErrNeverRuns      = errors.New("the job can never run")
-	ErrKeyReused      = errors.New("the idempotency key names a job with other content")
-	ErrOperationReuse = errors.New("the operation id was used for other content")
-	ErrWorkerBusy     = errors.New("another incarnation of the worker may still run tasks")
+	ErrUnknownJob           = errors.New("no such job")
+	ErrUnknownWorker        = errors.New("no such worker incarnation")
+	ErrSuperseded           = errors.New("the attempt is superseded")
+	ErrNotQueued            = errors.New("the job isn't queued")
+	ErrInsufficientCapacity = errors.New("the worker's resources don't suffice")
+	ErrQuota                = errors.New("the client account's quota doesn't suffice")
+	ErrQuarantined          = errors.New("the worker is quarantined")
+	ErrUnknownKind          = errors.New("no such job kind in the client account")
+	ErrUnschedulable        = errors.New("the job can never run")
+	ErrKeyReused            = errors.New("the idempotency key names a job with other content")
+	ErrOperationReuse       = errors.New("the operation id was used for other content")
+	ErrWorkerBusy           = errors.New("another incarnation of the worker may still run tasks")
 )
 
 // Result is what a command came to. Which fields are set depends on it.
@@ -37,7 +37,7 @@
 	Apply     *wire.ApplyConfigurationResponse
 	Dispatch  *wire.OpenDispatchResponse
 	// Placed tells for each placement whether it holds.
-	Placed []error
+	PlacementErrors []error
 }
 
 // Apply carries out one committed command.
@@ -71,7 +71,7 @@
 		return m.failJob(c, body.FailJob)
 	case *wire.Command_Work:
 		res := m.graph.Apply(c.At.AsTime(), body.Work)
-		return Result{Err: res.Err, Placed: res.Placed}
+		return Result{Err: res.Err, PlacementErrors: res.Placed}
 	default:
 		return Result{}
 	}
@@ -121,19 +121,19 @@
 // canEverRun refuses what no wait could help. A system with no worker yet
 // can't tell, and takes the job.
 func (m *Machine) canEverRun(spec *wire.JobSpec) error {
-	need := AmountOf(spec.Resources)
-	if quota := AmountOf(m.accounts[spec.ClientAccount].GetQuota()); !need.FitsQuota(quota) {
-		return fmt.Errorf("%w: it needs %v, the client account's quota is %v", ErrNeverRuns, need, quota)
+	need := ResourcesOf(spec.Resources)
+	if quota := ResourcesOf(m.accounts[spec.ClientAccount].GetQuota()); !need.FitsQuota(quota) {
+		return fmt.Errorf("%w: it needs %v, the client account's quota is %v", ErrUnschedulable, need, quota)
 	}
 	for _, w := range m.workers {
-		if need.Fits(AmountOf(w.Record.Capacity)) {
+		if need.FitsIn(ResourcesOf(w.Record.Capacity)) {
 			return nil
 		}
 	}
 	if len(m.workers) == 0 {
 		return nil
 	}
-	return fmt.Errorf("%w: it needs %v, and none of %d workers has that much", ErrNeverRuns, need, len(m.workers))
+	return fmt.Errorf("%w: it needs %v, and none of %d workers has that much", ErrUnschedulable, need, len(m.workers))
 }
 
 func (m *Machine) cancelJobs(c *wire.Command, r *wire.CancelJobs) Result {
@@ -167,8 +167,8 @@
 	if known.Record.Incarnation != w.Incarnation && len(known.Tasks) > 0 {
 		return Result{Err: ErrWorkerBusy}
 	}
-	if !known.Committed.Fits(AmountOf(w.Capacity)) {
-		return Result{Err: ErrNoRoom}
+	if !known.Committed.FitsIn(ResourcesOf(w.Capacity)) {
+		return Result{Err: ErrInsufficientCapacity}
 	}
 	known.Record = w
 	return Result{}
@@ -177,7 +177,7 @@
 func (m *Machine) placeTasks(c *wire.Command, p *wire.PlaceTasks) Result {
 	var res Result
 	for _, placement := range p.Placements {
-		res.Placed = append(res.Placed, m.place(c, placement))
+		res.PlacementErrors = append(res.PlacementErrors, m.place(c, placement))
 	}
 	return res
 }
@@ -198,12 +198,12 @@
 	case m.Drained(w):
 		return graph.ErrDrained
 	}
-	need := AmountOf(j.Spec.Resources)
-	if !w.Committed.With(need).Fits(AmountOf(w.Record.Capacity)) {
-		return ErrNoRoom
+	need := ResourcesOf(j.Spec.Resources)
+	if !w.Committed.Add(need).FitsIn(ResourcesOf(w.Record.Capacity)) {
+		return ErrInsufficientCapacity
 	}
-	quota := AmountOf(m.accounts[j.Spec.ClientAccount].GetQuota())
-	if !m.used[j.Spec.ClientAccount].With(need).FitsQuota(quota) {
+	quota := ResourcesOf(m.accounts[j.Spec.ClientAccount].GetQuota())
+	if !m.used[j.Spec.ClientAccount].Add(need).FitsQuota(quota) {
 		return ErrQuota
 	}
 	m.queueOf(j).remove(j)
@@ -215,20 +215,20 @@
 }
 
 func (m *Machine) commitTask(j *wire.Job) {
-	need := AmountOf(j.Spec.Resources)
+	need := ResourcesOf(j.Spec.Resources)
 	w := m.workers[j.WorkerId]
-	w.Committed = w.Committed.With(need)
+	w.Committed = w.Committed.Add(need)
 	w.Tasks[j.JobId] = j
-	m.used[j.Spec.ClientAccount] = m.used[j.Spec.ClientAccount].With(need)
+	m.used[j.Spec.ClientAccount] = m.used[j.Spec.ClientAccount].Add(need)
 	m.running++
 }
 
 func (m *Machine) releaseTask(j *wire.Job) {
-	need := AmountOf(j.Spec.Resources)
+	need := ResourcesOf(j.Spec.Resources)
 	w := m.workers[j.WorkerId]
-	w.Committed = w.Committed.WithOut(need)
+	w.Committed = w.Committed.Sub(need)
 	delete(w.Tasks, j.JobId)
-	m.used[j.Spec.ClientAccount] = m.used[j.Spec.ClientAccount].WithOut(need)
+	m.used[j.Spec.ClientAccount] = m.used[j.Spec.ClientAccount].Sub(need)
 	m.running--
 }
 
@@ -307,8 +307,8 @@
 }
 
 func (m *Machine) changed(j *wire.Job) Result {
-	if m.options.OnJob != nil {
-		m.options.OnJob(j)
+	if m.options.OnJobChange != nil {
+		m.options.OnJobChange(j)
 	}
 	return Result{Job: j}
 }
--- a/internal/store/state/machine.go
+++ b/internal/store/state/machine.go
@@ -43,7 +43,7 @@
 		Record *wire.Worker
 		// Quarantine is why it gets no tasks; empty when it may.
 		Quarantine string
-		Committed  Amount
+		Committed  Resources
 		// Tasks are the running attempts, by job id.
 		Tasks map[string]*wire.Job
 	}
@@ -52,8 +52,8 @@
 	Options struct {
 		// Retention is how long ended jobs are kept after their end.
 		Retention time.Duration
-		// OnJob is called after each change of a job. It must not change it.
-		OnJob func(*wire.Job)
+		// OnJobChange is called after each change of a job. It must not change it.
+		OnJobChange func(*wire.Job)
 	}
 
 	// Machine is the state. It isn't safe for concurrent use.
@@ -68,7 +68,7 @@
 		dispatches     map[string]*wire.DispatchRecord
 		operations     []*wire.AppliedOperation
 		operationByID  map[string]*wire.AppliedOperation
-		used           map[string]Amount
+		used           map[string]Resources
 		queues         map[string]*queue
 		running        int
 		nextSequence   uint64
@@ -94,7 +94,7 @@
 	m.quarantines = map[string]string{}
 	m.dispatches = map[string]*wire.DispatchRecord{}
 	m.operationByID = map[string]*wire.AppliedOperation{}
-	m.used = map[string]Amount{}
+	m.used = map[string]Resources{}
 	m.queues = map[string]*queue{}
 	m.kinds = map[string]*wire.JobKind{}
 	m.accounts = map[string]*wire.ClientAccount{}
@@ -185,7 +185,7 @@
 }
 
 // Used is what an account's running tasks hold.
-func (m *Machine) Used(account string) Amount {
+func (m *Machine) Used(account string) Resources {
 	return m.used[account]
 }
 
@@ -203,7 +203,7 @@
 }
 
 // Accounts returns the accounts that have queued jobs, in the order of names.
-func (m *Machine) Accounts() []string {
+func (m *Machine) AccountsWithQueuedJobs() []string {
 	var names []string
 	for name, q := range m.queues {
 		if q.len() > 0 {
--- a/internal/store/state/state_test.go
+++ b/internal/store/state/state_test.go
@@ -118,8 +118,8 @@
 		want    error
 	}{
 		{"unknown kind", submit("j", "nonsense", 0), state.ErrUnknownKind},
-		{"beyond quota", submit("j", "audit", 9001), state.ErrNeverRuns},
-		{"beyond every worker", submit("j", "audit", 4001), state.ErrNeverRuns},
+		{"beyond quota", submit("j", "audit", 9001), state.ErrUnschedulable},
+		{"beyond every worker", submit("j", "audit", 4001), state.ErrUnschedulable},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) { assert.ErrorIs(t, ready(t).Apply(c.command).Err, c.want) })
@@ -146,7 +146,7 @@
 		command *wire.Command
 		want    error
 	}{
-		{"no room", []*wire.Command{submit("j", "audit", 3500), submit("k", "audit", 1000), place("j", 1, "w1", "a")}, place("k", 1, "w1", "a"), state.ErrNoRoom},
+		{"no room", []*wire.Command{submit("j", "audit", 3500), submit("k", "audit", 1000), place("j", 1, "w1", "a")}, place("k", 1, "w1", "a"), state.ErrInsufficientCapacity},
 		{"placed already", []*wire.Command{submit("j", "audit", 0), place("j", 1, "w1", "a")}, place("j", 2, "w1", "a"), state.ErrNotQueued},
 		{"old attempt", []*wire.Command{submit("j", "audit", 0), place("j", 1, "w1", "a"), end("j", 1, "w1", wire.TaskState_TASK_STATE_STOPPED, 3)}, place("j", 1, "w1", "a"), state.ErrSuperseded},
 		{"other incarnation", []*wire.Command{submit("j", "audit", 0)}, place("j", 1, "w1", "b"), state.ErrUnknownWorker},
@@ -159,7 +159,7 @@
 			for _, command := range c.before {
 				assert.NilError(t, m.Apply(command).Err)
 			}
-			assert.ErrorIs(t, m.Apply(c.command).Placed[0], c.want)
+			assert.ErrorIs(t, m.Apply(c.command).PlacementErrors[0], c.want)
 		})
 	}
 }
@@ -295,19 +295,19 @@
 func assertInvariants(t rapid.TB, m *state.Machine) {
 	t.Helper()
 	holders := map[string]string{}
-	var used state.Amount
+	var used state.Resources
 	for id, w := range m.Workers() {
-		var sum state.Amount
+		var sum state.Resources
 		for job, j := range w.Tasks {
 			assert.Equal(t, holders[job], "", "%s is in two places", job)
 			holders[job] = id
 			assert.Equal(t, j.State, wire.JobState_JOB_STATE_RUNNING)
 			assert.Equal(t, j.WorkerIncarnation, w.Record.Incarnation)
-			sum = sum.With(state.AmountOf(j.Spec.Resources))
+			sum = sum.Add(state.ResourcesOf(j.Spec.Resources))
 		}
 		assert.Equal(t, sum, w.Committed)
-		assert.Assert(t, sum.Fits(state.AmountOf(w.Record.Capacity)), "%s is committed beyond its capacity", id)
-		used = used.With(sum)
+		assert.Assert(t, sum.FitsIn(state.ResourcesOf(w.Record.Capacity)), "%s is committed beyond its capacity", id)
+		used = used.Add(sum)
 	}
 	assert.Equal(t, m.Used("etiketa"), used)
 	assert.Assert(t, used.MilliProcessors <= 9000, "the quota is exceeded")
--- a/internal/store/walog/full.go
+++ b/internal/store/walog/full.go
@@ -52,9 +52,9 @@
 	return !errors.As(err, &final) && (errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT))
 }
 
-// GiveUp has writes that wait for room return their error, now and from now on: the
+// AbortRetries has writes that wait for room return their error, now and from now on: the
 // process is to stop.
-func (l *Log) GiveUp() { l.waits.givenUp.Store(true) }
+func (l *Log) AbortRetries() { l.waits.givenUp.Store(true) }
 
 // untilRoom makes a write, which leaves no trace where it is refused, again until the
 // disk takes it. Room may come from other processes, or from makeRoom; nil is allowed.
@@ -88,7 +88,7 @@
 }
 
 // dropCoveredNow makes room by what the latest snapshot on the disk covers.
-func (l *Log) dropCoveredNow() error { return l.DropCovered(l.waits.covered.Load(), false) }
+func (l *Log) dropCoveredNow() error { return l.Compact(l.waits.covered.Load(), false) }
 
 // writeFrames writes the buffer behind the records of the last segment. What a full disk
 // took of it is cut off again.
--- a/internal/store/walog/full_test.go
+++ b/internal/store/walog/full_test.go
@@ -76,7 +76,7 @@
 			assert.NilError(t, l.Append(records(13, 14, 2)))
 			assert.NilError(t, l.Close())
 			again, d := open(t, folder)
-			assertRecords(t, d.Records, append(records(1, 3, 1), records(4, 14, 2)...))
+			assertRecords(t, d.Entries, append(records(1, 3, 1), records(4, 14, 2)...))
 			assert.NilError(t, again.Close())
 		})
 	}
@@ -93,11 +93,11 @@
 	done := make(chan error, 1)
 	go func() { done <- l.Append(records(4, 12, 2)) }()
 	disk.untilRefused(t)
-	l.GiveUp()
+	l.AbortRetries()
 	assert.ErrorIs(t, <-done, syscall.ENOSPC)
 	assert.NilError(t, l.Close())
 	again, d := open(t, folder)
-	assertRecords(t, d.Records, records(1, 3, 1))
+	assertRecords(t, d.Entries, records(1, 3, 1))
 	assert.NilError(t, again.Close())
 }
 
@@ -152,7 +152,7 @@
 	assert.NilError(t, <-done)
 	assert.NilError(t, l.Close())
 	again, d := open(t, folder)
-	assertRecords(t, d.Records, records(37, 41, 1))
+	assertRecords(t, d.Entries, records(37, 41, 1))
 	assert.NilError(t, again.Close())
 }
 
--- a/internal/store/walog/walog.go
+++ b/internal/store/walog/walog.go
@@ -53,10 +53,10 @@
 	}
 
 	// Durable is what a folder holds.
-	Durable struct {
+	DurableState struct {
 		Vote     *wire.Vote
 		Snapshot *wire.Snapshot
-		Records  []*wire.LogRecord
+		Entries  []*wire.LogRecord
 		// TornBytes is how much of an unfinished last write was cut off.
 		TornBytes int64
 	}
@@ -69,7 +69,7 @@
 	}
 
 	// Log is an open folder. It isn't safe for concurrent use, but for
-	// WriteSnapshot and GiveUp, which may run beside Append and SaveVote.
+	// WriteSnapshot and AbortRetries, which may run beside Append and SaveVote.
 	Log struct {
 		folder   string
 		options  Options
@@ -84,7 +84,7 @@
 
 // Open reads the folder, makes it when missing, and locks it against a second
 // process.
-func Open(folder string, options Options) (*Log, *Durable, error) {
+func Open(folder string, options Options) (*Log, *DurableState, error) {
 	if options.Sync == nil {
 		options.Sync = (*os.File).Sync
 	}
@@ -120,8 +120,8 @@
 	return trace.Wrap(l.lock.Close())
 }
 
-func (l *Log) load() (*Durable, error) {
-	d := &Durable{}
+func (l *Log) load() (*DurableState, error) {
+	d := &DurableState{}
 	vote, snapshot := &wire.Vote{}, &wire.Snapshot{}
 	found, err := l.readWhole(voteName, vote)
 	if err != nil {
@@ -145,7 +145,7 @@
 			return nil, err
 		}
 	}
-	d.Records = afterSnapshot(d.Records, d.Snapshot)
+	d.Entries = afterSnapshot(d.Entries, d.Snapshot)
 	if err := checkOrder(d); err != nil {
 		return nil, err
 	}
@@ -172,7 +172,7 @@
 	return nil
 }
 
-func (l *Log) loadSegment(s *segment, last bool, d *Durable) error {
+func (l *Log) loadSegment(s *segment, last bool, d *DurableState) error {
 	data, err := os.ReadFile(s.path)
 	if err != nil {
 		return trace.ConvertSystemError(err)
@@ -190,7 +190,7 @@
 		if r.Index != s.first+uint64(len(s.ends)) {
 			return trace.Wrap(ErrCorrupt, "%s: offset %d: record %d out of order", s.path, offset, r.Index)
 		}
-		d.Records = append(d.Records, r)
+		d.Entries = append(d.Entries, r)
 		offset = f.end
 		s.ends = append(s.ends, offset)
 	}
@@ -199,7 +199,7 @@
 
 // cutTorn cuts off a write that a crash left unfinished. Only the end of the
 // last segment can be one: a segment is synced whole before the next begins.
-func (l *Log) cutTorn(s *segment, data []byte, offset int64, last bool, d *Durable) error {
+func (l *Log) cutTorn(s *segment, data []byte, offset int64, last bool, d *DurableState) error {
 	if !last || promisedBeyond(data, offset) {
 		return trace.Wrap(ErrCorrupt, "%s: offset %d", s.path, offset)
 	}
@@ -239,9 +239,9 @@
 }
 
 // checkOrder finds a hole between the snapshot and the records.
-func checkOrder(d *Durable) error {
+func checkOrder(d *DurableState) error {
 	next := d.Snapshot.GetIndex() + 1
-	for _, r := range d.Records {
+	for _, r := range d.Entries {
 		if r.Index != next {
 			return trace.Wrap(ErrCorrupt, "record %d where %d is due", r.Index, next)
 		}
--- a/internal/store/walog/walog_test.go
+++ b/internal/store/walog/walog_test.go
@@ -25,7 +25,7 @@
 	return list
 }
 
-func open(t testing.TB, folder string) (*walog.Log, *walog.Durable) {
+func open(t testing.TB, folder string) (*walog.Log, *walog.DurableState) {
 	t.Helper()
 	l, d, err := walog.Open(folder, walog.Options{SegmentSize: 512})
 	assert.NilError(t, err)
@@ -65,20 +65,20 @@
 			case 2:
 				at := snapshot + uint64(rapid.IntRange(0, len(model)).Draw(rt, "at"))
 				assert.NilError(rt, l.WriteSnapshot(&wire.Snapshot{Index: at, Term: term}))
-				assert.NilError(rt, l.DropCovered(at, false))
+				assert.NilError(rt, l.Compact(at, false))
 				model, snapshot = model[at-snapshot:], at
 			case 3:
 				at := last() + 5
 				assert.NilError(rt, l.WriteSnapshot(&wire.Snapshot{Index: at, Term: term}))
-				assert.NilError(rt, l.DropCovered(at, true))
+				assert.NilError(rt, l.Compact(at, true))
 				model, snapshot = nil, at
 			case 4:
 				assert.NilError(rt, l.Close())
-				var d *walog.Durable
+				var d *walog.DurableState
 				l, d = open(t, folder)
 				assert.Equal(rt, d.Snapshot.GetIndex(), snapshot)
 				assert.Equal(rt, d.TornBytes, int64(0))
-				assertRecords(t, d.Records, model)
+				assertRecords(t, d.Entries, model)
 			}
 		}
 		assert.NilError(rt, l.Close())
@@ -113,12 +113,12 @@
 		assert.NilError(t, os.WriteFile(path, whole[:cut], 0o600))
 		l, d, err := walog.Open(folder, walog.Options{})
 		assert.NilError(t, err, "cut at %d", cut)
-		assert.Assert(t, len(d.Records) >= 3 && len(d.Records) < 5, "cut at %d: %d records", cut, len(d.Records))
-		assert.NilError(t, l.Append(records(uint64(len(d.Records))+1, 6, 2)))
+		assert.Assert(t, len(d.Entries) >= 3 && len(d.Entries) < 5, "cut at %d: %d records", cut, len(d.Entries))
+		assert.NilError(t, l.Append(records(uint64(len(d.Entries))+1, 6, 2)))
 		assert.NilError(t, l.Close())
 		l, d, err = walog.Open(folder, walog.Options{})
 		assert.NilError(t, err)
-		assert.Equal(t, len(d.Records), 6)
+		assert.Equal(t, len(d.Entries), 6)
 		assert.NilError(t, l.Close())
 	}
 }
--- a/internal/store/walog/write.go
+++ b/internal/store/walog/write.go
@@ -122,7 +122,7 @@
 }
 
 // WriteSnapshot replaces the snapshot. The records that it covers stay until
-// DropCovered, so a crash between the two loses nothing.
+// Compact, so a crash between the two loses nothing.
 func (l *Log) WriteSnapshot(s *wire.Snapshot) error {
 	if err := l.writeWhole(snapshotName, s); err != nil {
 		return err
@@ -131,10 +131,10 @@
 	return nil
 }
 
-// DropCovered removes the segments that lie wholly at or before index. With
+// Compact removes the segments that lie wholly at or before index. With
 // all it removes every segment, as after a snapshot from another replica that
 // is ahead of all records here.
-func (l *Log) DropCovered(index uint64, all bool) error {
+func (l *Log) Compact(index uint64, all bool) error {
 	for len(l.segments) > 0 {
 		s := l.segments[0]
 		last := len(l.segments) == 1
