--- a/example_test.go
+++ b/example_test.go
@@ -31,7 +31,7 @@
 	a = a.WithEntries("a", entries, now, time.Second)
 	b = b.WithEntries("b", entries, now, time.Second)
 	later := now.Add(time.Second)
-	fmt.Println(a.Part("server", 8, now), a.Part("server", 8, later)+b.Part("server", 8, later))
+	fmt.Println(a.Share("server", 8, now), a.Share("server", 8, later)+b.Share("server", 8, later))
 	// Output: 0 8
 }
 
@@ -56,8 +56,8 @@
 	budget := sycamoredeck.RetryBudget{Ratio: 0.1}
 	allowed := 0
 	for range 100 {
-		budget.First("account", "service")
-		if budget.Take("account", "service") {
+		budget.Deposit("account", "service")
+		if budget.TryWithdraw("account", "service") {
 			allowed++
 		}
 	}
--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -34,8 +34,8 @@
 	forgetAfter = 10 * time.Minute
 )
 
-// ErrImpossible is wrapped by every refusal of an announcement.
-var ErrImpossible = errors.New("impossible announcement")
+// ErrInvalidAnnouncement is wrapped by every refusal of an announcement.
+var ErrInvalidAnnouncement = errors.New("impossible announcement")
 
 var (
 	heardTotal   = metrics.NewCounter("sycamoredeck_announcements_total")
@@ -55,10 +55,10 @@
 	Options struct {
 		// Limit is the age of the last sign of life from which on a backend
 		// server isn't used.
-		Limit time.Duration
+		MaxAge time.Duration
 		// Changed is called with the usable backend servers of a service
 		// whenever they change, one call at a time.
-		Changed func(service string, usable []*wire.Announcement)
+		OnChange func(service string, usable []*wire.Announcement)
 	}
 
 	// Roster may be used by many goroutines.
@@ -81,19 +81,19 @@
 	_, _, addressErr := net.SplitHostPort(a.GetAddress())
 	switch {
 	case a.GetBackendServerId() == "" || len(a.BackendServerId) > maxName:
-		return fmt.Errorf("%w: BackendServerId must have 1 to %d bytes", ErrImpossible, maxName)
+		return fmt.Errorf("%w: BackendServerId must have 1 to %d bytes", ErrInvalidAnnouncement, maxName)
 	case a.Incarnation == 0:
-		return fmt.Errorf("%w: Incarnation must be at least 1", ErrImpossible)
+		return fmt.Errorf("%w: Incarnation must be at least 1", ErrInvalidAnnouncement)
 	case !setup.NamePattern.MatchString(a.Service):
-		return fmt.Errorf("%w: Service is %q", ErrImpossible, a.Service)
+		return fmt.Errorf("%w: Service is %q", ErrInvalidAnnouncement, a.Service)
 	case addressErr != nil:
-		return fmt.Errorf("%w: Address is %q", ErrImpossible, a.Address)
+		return fmt.Errorf("%w: Address is %q", ErrInvalidAnnouncement, a.Address)
 	case a.Slots == 0 || a.Slots > maxSlots:
-		return fmt.Errorf("%w: Slots must be 1 to %d", ErrImpossible, maxSlots)
+		return fmt.Errorf("%w: Slots must be 1 to %d", ErrInvalidAnnouncement, maxSlots)
 	case a.Connections == 0 || a.Connections > maxConnections:
-		return fmt.Errorf("%w: Connections must be 1 to %d", ErrImpossible, maxConnections)
+		return fmt.Errorf("%w: Connections must be 1 to %d", ErrInvalidAnnouncement, maxConnections)
 	case len(a.FailureDomain) > maxName || len(a.WorkerId) > maxName:
-		return fmt.Errorf("%w: FailureDomain and WorkerId may have %d bytes", ErrImpossible, maxName)
+		return fmt.Errorf("%w: FailureDomain and WorkerId may have %d bytes", ErrInvalidAnnouncement, maxName)
 	default:
 		return nil
 	}
@@ -101,7 +101,7 @@
 
 // Hear takes an announcement of the given age. Direct says that it was made
 // to this entry.
-func (r *Roster) Hear(now time.Time, a *wire.Announcement, age time.Duration, direct bool) error {
+func (r *Roster) Announce(now time.Time, a *wire.Announcement, age time.Duration, direct bool) error {
 	if err := Check(a); err != nil {
 		refusedTotal.Inc()
 		return err
@@ -145,7 +145,7 @@
 }
 
 // Reply notes a sign of life from an answer to a request.
-func (r *Roster) Reply(now time.Time, id string, incarnation uint64, leaving bool) {
+func (r *Roster) RecordReply(now time.Time, id string, incarnation uint64, leaving bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	k := r.records[id]
@@ -200,12 +200,12 @@
 }
 
 // Direct lists what was announced here within the limit, for the peers.
-func (r *Roster) Direct(now time.Time) []*wire.HeardAnnouncement {
+func (r *Roster) DirectAnnouncements(now time.Time) []*wire.HeardAnnouncement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var heard []*wire.HeardAnnouncement
 	for _, k := range r.records {
-		if age := now.Sub(k.direct); !k.direct.IsZero() && age <= r.options.Limit {
+		if age := now.Sub(k.direct); !k.direct.IsZero() && age <= r.options.MaxAge {
 			heard = append(heard, &wire.HeardAnnouncement{Announcement: k.announcement, Age: durationpb.New(age)})
 		}
 	}
@@ -229,7 +229,7 @@
 }
 
 func (r *Roster) usable(k *record, now time.Time) bool {
-	return !k.announcement.Leaving && !r.drained[k.announcement.FailureDomain] && now.Sub(k.evidence) <= r.options.Limit
+	return !k.announcement.Leaving && !r.drained[k.announcement.FailureDomain] && now.Sub(k.evidence) <= r.options.MaxAge
 }
 
 func (r *Roster) notify(now time.Time, service string) {
@@ -240,5 +240,5 @@
 		}
 	}
 	sort.Slice(usable, func(i, j int) bool { return usable[i].BackendServerId < usable[j].BackendServerId })
-	r.options.Changed(service, usable)
+	r.options.OnChange(service, usable)
 }
--- a/internal/fleet/roster/roster_test.go
+++ b/internal/fleet/roster/roster_test.go
@@ -27,12 +27,12 @@
 // newRoster gives a roster and the count of usable servers as last told.
 func newRoster() (*roster.Roster, *int) {
 	count := -1
-	return roster.New(roster.Options{Limit: limit, Changed: func(_ string, usable []*wire.Announcement) { count = len(usable) }}), &count
+	return roster.New(roster.Options{MaxAge: limit, OnChange: func(_ string, usable []*wire.Announcement) { count = len(usable) }}), &count
 }
 
 func hear(t *testing.T, r *roster.Roster, at, age time.Duration, a *wire.Announcement) {
 	t.Helper()
-	assert.NilError(t, r.Hear(start.Add(at), a, age, true))
+	assert.NilError(t, r.Announce(start.Add(at), a, age, true))
 }
 
 // Guards against requests that are sent to a drained failure domain.
@@ -87,10 +87,10 @@
 func TestRepliesAreEvidence(t *testing.T) {
 	r, count := newRoster()
 	hear(t, r, 0, 0, announcement(1, false))
-	r.Reply(start.Add(2*time.Second), "s", 1, false)
+	r.RecordReply(start.Add(2*time.Second), "s", 1, false)
 	r.Sweep(start.Add(4 * time.Second))
 	assert.Equal(t, *count, 1)
-	r.Reply(start.Add(4*time.Second), "s", 1, true)
+	r.RecordReply(start.Add(4*time.Second), "s", 1, true)
 	assert.Equal(t, *count, 0, "a reply that says it leaves is passed over")
 }
 
@@ -98,11 +98,11 @@
 // keep a dead backend server alive.
 func TestOnlyDirectNewsAreShared(t *testing.T) {
 	r, _ := newRoster()
-	assert.NilError(t, r.Hear(start, announcement(1, false), 0, false))
-	assert.Equal(t, len(r.Direct(start)), 0)
+	assert.NilError(t, r.Announce(start, announcement(1, false), 0, false))
+	assert.Equal(t, len(r.DirectAnnouncements(start)), 0)
 	hear(t, r, 0, 0, announcement(1, false))
-	assert.Equal(t, len(r.Direct(start)), 1)
-	assert.Equal(t, len(r.Direct(start.Add(limit+time.Second))), 0)
+	assert.Equal(t, len(r.DirectAnnouncements(start)), 1)
+	assert.Equal(t, len(r.DirectAnnouncements(start.Add(limit+time.Second))), 0)
 }
 
 func TestImpossibleAnnouncements(t *testing.T) {
@@ -122,14 +122,14 @@
 			r, count := newRoster()
 			a := proto.Clone(announcement(1, false)).(*wire.Announcement)
 			c.change(a)
-			err := r.Hear(start, a, 0, true)
-			assert.ErrorIs(t, err, roster.ErrImpossible)
+			err := r.Announce(start, a, 0, true)
+			assert.ErrorIs(t, err, roster.ErrInvalidAnnouncement)
 			assert.ErrorContains(t, err, c.field)
 			assert.Equal(t, *count, -1)
 		})
 	}
 	t.Run("none at all", func(t *testing.T) {
 		r, _ := newRoster()
-		assert.ErrorIs(t, r.Hear(start, nil, 0, true), roster.ErrImpossible)
+		assert.ErrorIs(t, r.Announce(start, nil, 0, true), roster.ErrInvalidAnnouncement)
 	})
 }
--- a/internal/fleet/slots/slots.go
+++ b/internal/fleet/slots/slots.go
@@ -60,7 +60,7 @@
 }
 
 // Part returns how many of a backend server's slots this entry may use.
-func (d Divider) Part(server string, slots uint32, now time.Time) int {
+func (d Divider) Share(server string, slots uint32, now time.Time) int {
 	part := 0
 	for slot := range slots {
 		if d.owns(server, slot, now) {
--- a/internal/fleet/slots/slots_test.go
+++ b/internal/fleet/slots/slots_test.go
@@ -43,7 +43,7 @@
 		}
 		total := 0
 		for _, d := range dividers {
-			total += d.Part("server", 8, now.Add(settling))
+			total += d.Share("server", 8, now.Add(settling))
 		}
 		assert.Equal(rt, total, 8, "slots lie idle after the change has settled")
 	})
@@ -63,7 +63,7 @@
 	for server := range 4 {
 		total := 0
 		for _, d := range dividers {
-			total += d.Part(fmt.Sprint(server), 8, now)
+			total += d.Share(fmt.Sprint(server), 8, now)
 		}
 		assert.Assert(t, total <= 8, "%d slots used of 8", total)
 	}
@@ -80,12 +80,12 @@
 		d := slots.Divider{}.WithEntries(id, ids, now, 0)
 		sum := 0
 		for server := range 65 {
-			sum += d.Part(fmt.Sprint("server-", server), 8, now)
+			sum += d.Share(fmt.Sprint("server-", server), 8, now)
 		}
 		assert.Assert(t, sum > 35 && sum < 85, "%s has %d of 520", id, sum)
 	}
 }
 
 func TestZeroValueOwnsNothing(t *testing.T) {
-	assert.Equal(t, slots.Divider{}.Part("server", 8, time.Now()), 0)
+	assert.Equal(t, slots.Divider{}.Share("server", 8, time.Now()), 0)
 }
--- a/internal/front/admit/queue.go
+++ b/internal/front/admit/queue.go
@@ -22,8 +22,8 @@
 		Weight   float64
 		Deadline time.Time
 		// Latest is the last moment at which it makes sense to start.
-		Latest time.Time
-		Grant  func(T)
+		LatestStart time.Time
+		Grant       func(T)
 
 		index int // in its line, or -1
 	}
@@ -46,8 +46,8 @@
 // Len is the number of waiting calls.
 func (q *Queue[T]) Len() int { return q.length }
 
-// LenOf is the number of an account's waiting calls.
-func (q *Queue[T]) LenOf(account string) int {
+// AccountLen is the number of an account's waiting calls.
+func (q *Queue[T]) AccountLen(account string) int {
 	if l := q.lines[account]; l != nil {
 		return len(l.waiters)
 	}
@@ -104,9 +104,9 @@
 	return true
 }
 
-// TakeIf takes out all calls for which hopeless returns true. It is given how
+// RemoveIf takes out all calls for which hopeless returns true. It is given how
 // many of the account's calls that stay go before each.
-func (q *Queue[T]) TakeIf(hopeless func(w *Waiter[T], ahead int) bool) []*Waiter[T] {
+func (q *Queue[T]) RemoveIf(hopeless func(w *Waiter[T], ahead int) bool) []*Waiter[T] {
 	var taken []*Waiter[T]
 	for _, l := range q.lines {
 		inOrder := slices.Clone(l.waiters)
--- a/internal/front/admit/queue_test.go
+++ b/internal/front/admit/queue_test.go
@@ -81,7 +81,7 @@
 	assert.Assert(t, q.Pop() == nil)
 }
 
-// Whatever is pushed comes out once, by Pop, Remove or TakeIf.
+// Whatever is pushed comes out once, by Pop, Remove or RemoveIf.
 func TestEveryCallComesOutOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var q admit.Queue[int]
@@ -111,7 +111,7 @@
 					}
 				}
 			case 4:
-				for _, w := range q.TakeIf(func(w *admit.Waiter[int], _ int) bool { return w.Deadline.Unix() < 3 }) {
+				for _, w := range q.RemoveIf(func(w *admit.Waiter[int], _ int) bool { return w.Deadline.Unix() < 3 }) {
 					take(w)
 				}
 			}
--- a/internal/front/calls/calls.go
+++ b/internal/front/calls/calls.go
@@ -66,7 +66,7 @@
 	}
 
 	// Calls serves CallerService. It is made by New.
-	Calls struct {
+	Server struct {
 		wire.UnimplementedCallerServiceServer
 		options Options
 		budget  retry.Budget
@@ -89,15 +89,15 @@
 		// that no earlier send can have run.
 		mayHaveRun bool
 		tried      []string
-		pass       *fence.Pass
+		pass       *fence.Permit
 	}
 )
 
-var _ wire.CallerServiceServer = (*Calls)(nil)
+var _ wire.CallerServiceServer = (*Server)(nil)
 
 // New returns a Calls that knows no service yet.
-func New(options Options) *Calls {
-	return &Calls{
+func New(options Options) *Server {
+	return &Server{
 		options:  options,
 		budget:   retry.Budget{Ratio: options.Settings.RetryRatio},
 		services: map[string]*route.Service{},
@@ -105,7 +105,7 @@
 }
 
 // Configure puts a configuration in force.
-func (c *Calls) Configure(v *wire.ConfigurationVersion) {
+func (c *Server) Configure(v *wire.ConfigurationVersion) {
 	b := &book{accounts: map[string]*wire.ClientAccount{}, services: map[string]*wire.Service{}}
 	for _, a := range v.Configuration.GetClientAccounts() {
 		b.accounts[a.Name] = a
@@ -119,21 +119,21 @@
 }
 
 // Update tells the usable backend servers of a service.
-func (c *Calls) Update(service string, usable []*wire.Announcement) {
+func (c *Server) Update(service string, usable []*wire.Announcement) {
 	c.service(service).Update(usable)
 }
 
 // Resize works out all slots anew after the entries have changed.
-func (c *Calls) Resize() {
+func (c *Server) Resize() {
 	c.each((*route.Service).Resize)
 }
 
 // Shed answers the waiting calls that have become hopeless.
-func (c *Calls) Shed() {
+func (c *Server) Shed() {
 	c.each((*route.Service).Shed)
 }
 
-func (c *Calls) each(f func(*route.Service)) {
+func (c *Server) each(f func(*route.Service)) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	for _, s := range c.services {
@@ -141,7 +141,7 @@
 	}
 }
 
-func (c *Calls) service(name string) *route.Service {
+func (c *Server) service(name string) *route.Service {
 	c.mu.RLock()
 	s := c.services[name]
 	c.mu.RUnlock()
@@ -157,7 +157,7 @@
 }
 
 // Call serves one request.
-func (c *Calls) Call(ctx context.Context, r *wire.CallRequest) (*wire.CallResponse, error) {
+func (c *Server) Call(ctx context.Context, r *wire.CallRequest) (*wire.CallResponse, error) {
 	one, err := c.admit(r)
 	if err != nil {
 		refusedTotal.Inc()
@@ -188,7 +188,7 @@
 }
 
 // admit checks a request and names the field that is wrong.
-func (c *Calls) admit(r *wire.CallRequest) (*call, error) {
+func (c *Server) admit(r *wire.CallRequest) (*call, error) {
 	if err := checkRequest(r, int(c.options.Settings.MaxPayloadBytes)); err != nil {
 		return nil, err
 	}
@@ -249,7 +249,7 @@
 	return true
 }
 
-func (c *Calls) timeout(r *wire.CallRequest, s *wire.Service) (time.Duration, error) {
+func (c *Server) timeout(r *wire.CallRequest, s *wire.Service) (time.Duration, error) {
 	limit := c.options.Settings.MaxTimeout.AsDuration()
 	switch {
 	case r.Timeout != nil:
@@ -267,7 +267,7 @@
 
 // runOnce runs a request that must not be repeated. Those who send the same
 // request id while it runs, or soon after, get the same response.
-func (c *Calls) runOnce(ctx context.Context, one *call) *wire.CallResponse {
+func (c *Server) runOnce(ctx context.Context, one *call) *wire.CallResponse {
 	run, first := c.options.Fence.Join(one.request)
 	if !first {
 		if response := run.Wait(ctx); response != nil {
@@ -285,19 +285,19 @@
 	}
 	// A response given without a look at the record isn't held: it says
 	// nothing that the next send couldn't learn better.
-	c.options.Fence.End(run, response, one.pass != nil)
+	c.options.Fence.Finish(run, response, one.pass != nil)
 	return response
 }
 
 // settle brings the dispatch record in line with the response.
-func (c *Calls) settle(ctx context.Context, one *call, response *wire.CallResponse) *wire.CallResponse {
+func (c *Server) settle(ctx context.Context, one *call, response *wire.CallResponse) *wire.CallResponse {
 	switch response.Outcome {
 	case wire.Outcome_OUTCOME_COMPLETED:
-		c.options.Fence.Completed(one.pass)
+		c.options.Fence.Complete(one.pass)
 	case wire.Outcome_OUTCOME_NOT_RUN:
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), outcomeGrace)
 		defer cancel()
-		if err := c.options.Fence.NotRun(ctx, one.pass); err != nil {
+		if err := c.options.Fence.Abort(ctx, one.pass); err != nil {
 			// It was not run, but a record that says it may have been would
 			// answer the caller's next try, against this answer.
 			return one.unknown("not run, but its record could not be cleared")
@@ -308,8 +308,8 @@
 }
 
 // run sends the request until it is answered or can't be sent again.
-func (c *Calls) run(ctx context.Context, one *call) *wire.CallResponse {
-	c.budget.First(one.request.ClientAccount, one.request.Service)
+func (c *Server) run(ctx context.Context, one *call) *wire.CallResponse {
+	c.budget.Deposit(one.request.ClientAccount, one.request.Service)
 	for {
 		response, err := c.attempt(ctx, one)
 		if response != nil {
@@ -323,20 +323,20 @@
 }
 
 // mayRetry allows another attempt of what is idempotent or surely not run.
-func (c *Calls) mayRetry(ctx context.Context, one *call) bool {
+func (c *Server) mayRetry(ctx context.Context, one *call) bool {
 	if one.mayHaveRun && !one.request.Idempotent {
 		return false
 	}
 	if one.attempts >= c.options.Settings.MaxAttempts || ctx.Err() != nil {
 		return false
 	}
-	return c.budget.Take(one.request.ClientAccount, one.request.Service)
+	return c.budget.TryWithdraw(one.request.ClientAccount, one.request.Service)
 }
 
 // attempt takes a slot and sends the request once. A nil response asks for
 // another attempt; the error says why this one failed.
-func (c *Calls) attempt(ctx context.Context, one *call) (*wire.CallResponse, error) {
-	ask := route.Ask{
+func (c *Server) attempt(ctx context.Context, one *call) (*wire.CallResponse, error) {
+	ask := route.SlotRequest{
 		Account: one.request.ClientAccount, Weight: one.account.Share,
 		Deadline: one.deadline, Tried: one.tried,
 	}
@@ -349,7 +349,7 @@
 	}
 	began := c.options.Clock.Now()
 	if !began.Before(one.deadline) {
-		one.service.Release(b, route.Ended{})
+		one.service.Release(b, route.AttemptOutcome{})
 		return one.notRun("the deadline passed before it was sent", againRetryAfter), nil
 	}
 	one.attempts++
@@ -358,7 +358,7 @@
 	answer, late, err := b.Do(ctx, began, route.Request{
 		ID: one.request.RequestId, Account: one.request.ClientAccount, Service: one.request.Service,
 		Payload: one.request.Payload, Deadline: c.attemptDeadline(one, began),
-		Idempotent: one.request.Idempotent, MaxAnswer: int(c.options.Settings.MaxPayloadBytes),
+		Idempotent: one.request.Idempotent, MaxResponseBytes: int(c.options.Settings.MaxPayloadBytes),
 	})
 	c.finish(one, b, began, answer, late, err)
 	if err == nil {
@@ -370,26 +370,26 @@
 
 // attemptDeadline leaves time for another attempt where there may be one, and
 // where the part for this one suffices for nearly all requests.
-func (c *Calls) attemptDeadline(one *call, now time.Time) time.Time {
+func (c *Server) attemptDeadline(one *call, now time.Time) time.Time {
 	if !one.request.Idempotent || one.attempts >= c.options.Settings.MaxAttempts {
 		return one.deadline
 	}
 	part := time.Duration(float64(one.deadline.Sub(now)) * attemptPart)
-	if part < one.service.Likely() {
+	if part < one.service.TailLatency() {
 		return one.deadline
 	}
 	return now.Add(part)
 }
 
-func (c *Calls) finish(one *call, b *route.Backend, began time.Time, answer route.Answer, late func() bool, err error) {
+func (c *Server) finish(one *call, b *route.Backend, began time.Time, answer route.Response, late func() bool, err error) {
 	now := c.options.Clock.Now()
-	ended := route.Ended{}
+	ended := route.AttemptOutcome{}
 	switch {
 	case err == nil:
 		ended.Latency = max(now.Sub(began), 1)
-		c.options.Roster.Reply(now, b.ID(), b.Incarnation(), answer.Leaving)
+		c.options.Roster.RecordReply(now, b.ID(), b.Incarnation(), answer.Leaving)
 	case answer.Status != 0: // refused, but alive
-		c.options.Roster.Reply(now, b.ID(), b.Incarnation(), answer.Leaving)
+		c.options.Roster.RecordReply(now, b.ID(), b.Incarnation(), answer.Leaving)
 	default:
 		ended.Failed = true
 	}
@@ -397,11 +397,11 @@
 		one.service.Release(b, ended)
 		return
 	}
-	one.service.Note(b, ended)
+	one.service.RecordOutcome(b, ended)
 	go func() {
-		ended := route.Ended{}
+		ended := route.AttemptOutcome{}
 		if late() {
-			ended.Late = c.options.Clock.Since(began)
+			ended.LateLatency = c.options.Clock.Since(began)
 		}
 		one.service.Release(b, ended)
 	}()
@@ -412,7 +412,7 @@
 // all of its time, and calls that need no record would wait with it. What
 // would be refused a slot now isn't recorded first, so that overload of a
 // service adds no commits.
-func (c *Calls) fenced(ctx context.Context, one *call, ask route.Ask) *wire.CallResponse {
+func (c *Server) fenced(ctx context.Context, one *call, ask route.SlotRequest) *wire.CallResponse {
 	if one.request.Idempotent || one.pass != nil {
 		return nil
 	}
@@ -432,7 +432,7 @@
 	return nil
 }
 
-func (one *call) completed(server string, a route.Answer) *wire.CallResponse {
+func (one *call) completed(server string, a route.Response) *wire.CallResponse {
 	return &wire.CallResponse{
 		RequestId: one.request.RequestId, Outcome: wire.Outcome_OUTCOME_COMPLETED,
 		Payload: a.Payload, Status: uint32(a.Status), Attempts: one.attempts, BackendServerId: server,
--- a/internal/front/fence/fence.go
+++ b/internal/front/fence/fence.go
@@ -42,14 +42,14 @@
 		entryID string
 
 		mu        sync.Mutex
-		runs      map[string]*Run
-		held      []*Run // ended ones, the oldest first
+		runs      map[string]*Execution
+		held      []*Execution // ended ones, the oldest first
 		heldBytes int
 	}
 
 	// Run is one request that goes through this entry. Callers who send the
 	// same request id join it.
-	Run struct {
+	Execution struct {
 		key      string
 		done     chan struct{}
 		response *wire.CallResponse
@@ -57,7 +57,7 @@
 	}
 
 	// Pass is the right to send a request once.
-	Pass struct {
+	Permit struct {
 		request *wire.CallRequest
 		nonce   string
 	}
@@ -65,12 +65,12 @@
 
 // New returns a fence that commits its records through the uplink.
 func New(entryID string, u *uplink.Uplink, clock clockwork.Clock) *Fence {
-	return &Fence{uplink: u, clock: clock, entryID: entryID, runs: map[string]*Run{}}
+	return &Fence{uplink: u, clock: clock, entryID: entryID, runs: map[string]*Execution{}}
 }
 
 // Join returns the run of this request at this entry, and whether it is new;
 // then the caller must End it.
-func (f *Fence) Join(r *wire.CallRequest) (*Run, bool) {
+func (f *Fence) Join(r *wire.CallRequest) (*Execution, bool) {
 	key := r.ClientAccount + "\x00" + r.RequestId
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -79,13 +79,13 @@
 		joinedTotal.Inc()
 		return run, false
 	}
-	run := &Run{key: key, done: make(chan struct{})}
+	run := &Execution{key: key, done: make(chan struct{})}
 	f.runs[key] = run
 	return run, true
 }
 
 // Wait returns the run's response, or nil if the context ends first.
-func (run *Run) Wait(ctx context.Context) *wire.CallResponse {
+func (run *Execution) Wait(ctx context.Context) *wire.CallResponse {
 	select {
 	case <-run.done:
 		return run.response
@@ -96,7 +96,7 @@
 
 // End gives the run its response, and holds it for those who ask again if hold
 // is set. One that wasn't run is never held, since the request may be sent anew.
-func (f *Fence) End(run *Run, response *wire.CallResponse, hold bool) {
+func (f *Fence) Finish(run *Execution, response *wire.CallResponse, hold bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	run.response, run.ended = response, f.clock.Now()
@@ -123,13 +123,13 @@
 // Open commits that the request is about to be sent. A nil Pass says that it
 // must not be, and the record says why; on an error nothing may be sent
 // either, though a record may have been committed.
-func (f *Fence) Open(ctx context.Context, r *wire.CallRequest, timeout time.Duration) (*Pass, *wire.DispatchRecord, error) {
-	p := &Pass{request: r, nonce: uuid.NewString()}
+func (f *Fence) Open(ctx context.Context, r *wire.CallRequest, timeout time.Duration) (*Permit, *wire.DispatchRecord, error) {
+	p := &Permit{request: r, nonce: uuid.NewString()}
 	ask := &wire.OpenDispatchRequest{
 		ClientAccount: r.ClientAccount, RequestId: r.RequestId, EntryId: f.entryID,
 		Nonce: p.nonce, Timeout: durationpb.New(timeout),
 	}
-	got, err := uplink.Ask(ctx, f.uplink, ask, func(ctx context.Context, conn *grpc.ClientConn, q *wire.OpenDispatchRequest) (*wire.OpenDispatchResponse, error) {
+	got, err := uplink.CallLeader(ctx, f.uplink, ask, func(ctx context.Context, conn *grpc.ClientConn, q *wire.OpenDispatchRequest) (*wire.OpenDispatchResponse, error) {
 		return wire.NewControlServiceClient(conn).OpenDispatch(ctx, q)
 	})
 	if err != nil {
@@ -146,17 +146,17 @@
 
 // Completed records that the request was run, without waiting: an open record
 // keeps others from sending it just as well.
-func (f *Fence) Completed(p *Pass) {
+func (f *Fence) Complete(p *Permit) {
 	f.close(p, false)
 }
 
-// NotRun clears the record of a request that was proved not run, and waits
+// Abort clears the record of a request that was proved not run, and waits
 // for it, so that the caller can send it anew once it is told.
-func (f *Fence) NotRun(ctx context.Context, p *Pass) error {
+func (f *Fence) Abort(ctx context.Context, p *Permit) error {
 	return f.commitClose(ctx, p, true)
 }
 
-func (f *Fence) close(p *Pass, notRun bool) {
+func (f *Fence) close(p *Permit, notRun bool) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 		defer cancel()
@@ -165,11 +165,11 @@
 	}()
 }
 
-func (f *Fence) commitClose(ctx context.Context, p *Pass, notRun bool) error {
+func (f *Fence) commitClose(ctx context.Context, p *Permit, notRun bool) error {
 	ask := &wire.CloseDispatchRequest{
 		ClientAccount: p.request.ClientAccount, RequestId: p.request.RequestId, Nonce: p.nonce, NotRun: notRun,
 	}
-	_, err := uplink.Ask(ctx, f.uplink, ask, func(ctx context.Context, conn *grpc.ClientConn, q *wire.CloseDispatchRequest) (*wire.CloseDispatchResponse, error) {
+	_, err := uplink.CallLeader(ctx, f.uplink, ask, func(ctx context.Context, conn *grpc.ClientConn, q *wire.CloseDispatchRequest) (*wire.CloseDispatchResponse, error) {
 		return wire.NewControlServiceClient(conn).CloseDispatch(ctx, q)
 	})
 	return err
--- a/internal/front/retry/budget.go
+++ b/internal/front/retry/budget.go
@@ -24,7 +24,7 @@
 }
 
 // First notes a first attempt of a client account on a service.
-func (b *Budget) First(account, service string) {
+func (b *Budget) Deposit(account, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	key := account + "\x00" + service
@@ -32,7 +32,7 @@
 }
 
 // Take asks for one retry.
-func (b *Budget) Take(account, service string) bool {
+func (b *Budget) TryWithdraw(account, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	key := account + "\x00" + service
--- a/internal/front/route/attempt.go
+++ b/internal/front/route/attempt.go
@@ -48,11 +48,11 @@
 		Payload              []byte
 		Deadline             time.Time
 		Idempotent           bool
-		MaxAnswer            int
+		MaxResponseBytes     int
 	}
 
 	// Answer is a backend server's whole answer.
-	Answer struct {
+	Response struct {
 		Status  int
 		Payload []byte
 		Leaving bool
@@ -66,19 +66,19 @@
 // Late waits for an answer whose deadline has passed. The backend server may
 // still be working on it: a slot given back at the deadline would let another
 // request in beside it, beyond what the backend server can run.
-func (b *Backend) Do(ctx context.Context, now time.Time, r Request) (answer Answer, late func() bool, err error) {
+func (b *Backend) Do(ctx context.Context, now time.Time, r Request) (answer Response, late func() bool, err error) {
 	ctx, span := spans.Hop(ctx, "attempt", attribute.String("backend_server", b.ID()))
 	defer span.End()
 	c, err := b.connect(now, r.Deadline, !r.Idempotent)
 	if err != nil {
-		return Answer{}, nil, fmt.Errorf("%w: %w", ErrNotRun, err)
+		return Response{}, nil, fmt.Errorf("%w: %w", ErrNotRun, err)
 	}
 	if err := c.send(ctx, b.announcement.Address, r); err != nil {
 		c.Close()
-		return Answer{}, nil, err
+		return Response{}, nil, err
 	}
 	if _, err := c.reader.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
-		return Answer{}, func() bool { return b.linger(c, r) }, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return Response{}, func() bool { return b.linger(c, r) }, fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
 	answer, reusable, err := c.read(r)
 	b.keep(c, reusable, now)
@@ -149,21 +149,21 @@
 	return 0
 }
 
-func (c *connection) read(r Request) (Answer, bool, error) {
+func (c *connection) read(r Request) (Response, bool, error) {
 	response := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(response)
-	if err := response.ReadLimitBody(c.reader, r.MaxAnswer); err != nil {
-		return Answer{}, false, fmt.Errorf("%w: %w", ErrUnknown, err)
+	if err := response.ReadLimitBody(c.reader, r.MaxResponseBytes); err != nil {
+		return Response{}, false, fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
 	if got := string(response.Header.Peek(HeaderRequestID)); got != r.ID {
-		return Answer{}, false, fmt.Errorf("%w: the answer is to request %q", ErrUnknown, got)
+		return Response{}, false, fmt.Errorf("%w: the answer is to request %q", ErrUnknown, got)
 	}
 	if response.Header.ContentLength() == identityLength {
 		// Its end is the connection's, so a cut answer would look whole.
-		return Answer{}, false, fmt.Errorf("%w: the answer has no length", ErrUnknown)
+		return Response{}, false, fmt.Errorf("%w: the answer has no length", ErrUnknown)
 	}
 	reusable := !response.ConnectionClose() && c.reader.Buffered() == 0
-	answer := Answer{
+	answer := Response{
 		Status:  response.StatusCode(),
 		Payload: append([]byte(nil), response.Body()...),
 		Leaving: len(response.Header.Peek(HeaderLeaving)) > 0,
--- a/internal/front/route/backend.go
+++ b/internal/front/route/backend.go
@@ -37,11 +37,11 @@
 
 type (
 	// Ended is how an attempt went. The zero value changes nothing.
-	Ended struct {
+	AttemptOutcome struct {
 		// Latency is set when the backend server answered.
 		Latency time.Duration
 		// Late is set when the answer came after the deadline.
-		Late time.Duration
+		LateLatency time.Duration
 		// Failed says that it was not reached, broke off or ran out of time.
 		Failed bool
 	}
@@ -95,14 +95,14 @@
 	return b.inFlight < b.limit && !now.Before(b.ejectedUntil) && !slices.Contains(tried, b.announcement.BackendServerId)
 }
 
-func (b *Backend) note(now time.Time, e Ended) {
+func (b *Backend) note(now time.Time, e AttemptOutcome) {
 	if e.Latency > 0 {
 		b.latency = average(b.latency, e.Latency, latencyWeight)
 		b.failures, b.ejections = 0, 0
 		return
 	}
-	if e.Late > 0 {
-		b.latency = average(b.latency, e.Late, latencyWeight)
+	if e.LateLatency > 0 {
+		b.latency = average(b.latency, e.LateLatency, latencyWeight)
 	}
 	if !e.Failed {
 		return
--- a/internal/front/route/route_test.go
+++ b/internal/front/route/route_test.go
@@ -69,7 +69,7 @@
 }
 
 func request(id string) Request {
-	return Request{ID: id, Account: "a", Service: "svc", Deadline: time.Now().Add(300 * time.Millisecond), Idempotent: true, MaxAnswer: 1000}
+	return Request{ID: id, Account: "a", Service: "svc", Deadline: time.Now().Add(300 * time.Millisecond), Idempotent: true, MaxResponseBytes: 1000}
 }
 
 // Symptom: a caller gets half an answer, or the answer to another's request.
@@ -141,8 +141,8 @@
 func testService(servers int, queue int) (*Service, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	s := NewService(Options{
-		Clock: clock, QueueLength: queue, Entries: func() int { return 1 },
-		Part: func(string, uint32) int { return 2 },
+		Clock: clock, QueueLength: queue, EntryCount: func() int { return 1 },
+		SlotShare: func(string, uint32) int { return 2 },
 	})
 	var list []*wire.Announcement
 	for i := range servers {
@@ -152,8 +152,8 @@
 	return s, clock
 }
 
-func ask(clock clockwork.Clock, timeout time.Duration) Ask {
-	return Ask{Account: "a", Weight: 1, Deadline: clock.Now().Add(timeout)}
+func ask(clock clockwork.Clock, timeout time.Duration) SlotRequest {
+	return SlotRequest{Account: "a", Weight: 1, Deadline: clock.Now().Add(timeout)}
 }
 
 func assertRefused(t *testing.T, err error, want error) {
@@ -178,7 +178,7 @@
 			assert.NilError(t, err)
 		}
 		_, err := s.Acquire(ctx, ask(clock, time.Second))
-		assertRefused(t, err, ErrBusy)
+		assertRefused(t, err, ErrQueueFull)
 	})
 	t.Run("too late", func(t *testing.T) {
 		s, clock := testService(1, 10)
@@ -187,7 +187,7 @@
 			assert.NilError(t, err)
 		}
 		_, err := s.Acquire(ctx, ask(clock, time.Millisecond))
-		assertRefused(t, err, ErrTooLate)
+		assertRefused(t, err, ErrDeadlineExceeded)
 	})
 }
 
@@ -210,7 +210,7 @@
 	}
 	s.Update(nil)
 	s.Shed()
-	assertRefused(t, <-refused, ErrTooLate)
+	assertRefused(t, <-refused, ErrDeadlineExceeded)
 }
 
 func (s *Service) waiting() int {
@@ -234,7 +234,7 @@
 	s.mu.Unlock()
 	s.Update([]*wire.Announcement{{BackendServerId: "0", Slots: 2, Connections: 64}})
 	for i, b := range held {
-		s.Release(b, Ended{Failed: i%2 == 0})
+		s.Release(b, AttemptOutcome{Failed: i%2 == 0})
 	}
 	assert.Equal(t, s.free, 2)
 	assert.Equal(t, s.backends[0].inFlight, 0)
@@ -247,13 +247,13 @@
 	bad := s.backends[0]
 	for range failuresToEject {
 		s.take(clock.Now(), bad)
-		s.Release(bad, Ended{Failed: true})
+		s.Release(bad, AttemptOutcome{Failed: true})
 	}
 	for range 20 {
 		b, err := s.Acquire(context.Background(), ask(clock, time.Second))
 		assert.NilError(t, err)
 		assert.Assert(t, b != bad)
-		s.Release(b, Ended{Latency: time.Millisecond})
+		s.Release(b, AttemptOutcome{Latency: time.Millisecond})
 	}
 	s.Update([]*wire.Announcement{bad.announcement})
 	b, err := s.Acquire(context.Background(), ask(clock, time.Second))
@@ -267,7 +267,7 @@
 	s, clock := testService(2, 10)
 	slow := s.backends[0]
 	s.take(clock.Now(), slow)
-	s.Release(slow, Ended{Latency: time.Minute})
+	s.Release(slow, AttemptOutcome{Latency: time.Minute})
 	chosen := func() int {
 		n := 0
 		for range 50 {
@@ -276,7 +276,7 @@
 			if b == slow {
 				n++
 			}
-			s.Release(b, Ended{})
+			s.Release(b, AttemptOutcome{})
 		}
 		return n
 	}
--- a/internal/front/route/service.go
+++ b/internal/front/route/service.go
@@ -46,10 +46,10 @@
 
 // Why a call gets no slot. It has not been run.
 var (
-	ErrNoServer = errors.New("no usable backend server")
-	ErrBusy     = errors.New("the queue is full")
-	ErrTooLate  = errors.New("no slot becomes free before the deadline")
-	ErrGone     = errors.New("the caller has gone away")
+	ErrNoServer         = errors.New("no usable backend server")
+	ErrQueueFull        = errors.New("the queue is full")
+	ErrDeadlineExceeded = errors.New("no slot becomes free before the deadline")
+	ErrCallerGone       = errors.New("the caller has gone away")
 )
 
 type (
@@ -60,7 +60,7 @@
 	}
 
 	// Ask is a call that needs a slot.
-	Ask struct {
+	SlotRequest struct {
 		Account  string
 		Weight   float64
 		Deadline time.Time
@@ -75,9 +75,9 @@
 		FailureDomain string
 		QueueLength   int
 		// Part gives this entry's part of a backend server's slots.
-		Part func(server string, slots uint32) int
+		SlotShare func(server string, slots uint32) int
 		// Entries is the number of entries seen.
-		Entries func() int
+		EntryCount func() int
 	}
 
 	// Service is the backend servers of one service as seen by one entry.
@@ -147,8 +147,8 @@
 func (s *Service) resize() {
 	s.slots, s.free = 0, 0
 	for _, b := range s.backends {
-		b.limit = s.options.Part(b.announcement.BackendServerId, b.announcement.Slots)
-		b.maxConnections = max(1, int(b.announcement.Connections)/(s.options.Entries()+1))
+		b.limit = s.options.SlotShare(b.announcement.BackendServerId, b.announcement.Slots)
+		b.maxConnections = max(1, int(b.announcement.Connections)/(s.options.EntryCount()+1))
 		b.limit = min(b.limit, b.maxConnections)
 		s.slots += b.limit
 		s.free += max(0, b.limit-b.inFlight)
@@ -156,7 +156,7 @@
 }
 
 // Check returns the *Refusal that Acquire would give at once, or nil.
-func (s *Service) Check(ask Ask) error {
+func (s *Service) Check(ask SlotRequest) error {
 	now := s.options.Clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,7 +171,7 @@
 }
 
 // Acquire returns a backend server with a slot taken, or a *Refusal.
-func (s *Service) Acquire(ctx context.Context, ask Ask) (*Backend, error) {
+func (s *Service) Acquire(ctx context.Context, ask SlotRequest) (*Backend, error) {
 	now := s.options.Clock.Now()
 	s.mu.Lock()
 	if len(s.backends) == 0 || s.slots == 0 {
@@ -192,8 +192,8 @@
 	granted := make(chan *Backend, 1)
 	w := &admit.Waiter[*Backend]{
 		Account: ask.Account, Weight: ask.Weight, Deadline: ask.Deadline,
-		Latest: s.latest(now, ask.Deadline),
-		Grant:  func(b *Backend) { granted <- b },
+		LatestStart: s.latest(now, ask.Deadline),
+		Grant:       func(b *Backend) { granted <- b },
 	}
 	s.queue.Push(w)
 	s.mu.Unlock()
@@ -206,7 +206,7 @@
 	select {
 	case b := <-granted:
 		if b == nil {
-			return nil, &Refusal{ErrTooLate, s.retryAfter(w.Account, w.Weight)}
+			return nil, &Refusal{ErrDeadlineExceeded, s.retryAfter(w.Account, w.Weight)}
 		}
 		return b, nil
 	case <-ctx.Done():
@@ -216,29 +216,29 @@
 	s.mu.Unlock()
 	if !waiting {
 		if b := <-granted; b != nil {
-			s.Release(b, Ended{})
+			s.Release(b, AttemptOutcome{})
 		}
 	}
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return nil, &Refusal{ErrGone, minRetryAfter}
+		return nil, &Refusal{ErrCallerGone, minRetryAfter}
 	}
-	return nil, &Refusal{ErrTooLate, s.retryAfter(w.Account, w.Weight)}
+	return nil, &Refusal{ErrDeadlineExceeded, s.retryAfter(w.Account, w.Weight)}
 }
 
 // hopeless refuses a call that would wait in vain.
-func (s *Service) hopeless(now time.Time, ask Ask) error {
-	wait := s.expectedWait(ask.Account, ask.Weight, s.queue.LenOf(ask.Account)+1)
+func (s *Service) hopeless(now time.Time, ask SlotRequest) error {
+	wait := s.expectedWait(ask.Account, ask.Weight, s.queue.AccountLen(ask.Account)+1)
 	if s.queue.Len() >= s.options.QueueLength {
-		return &Refusal{ErrBusy, clampRetry(wait)}
+		return &Refusal{ErrQueueFull, clampRetry(wait)}
 	}
 	if now.Add(wait).After(s.latest(now, ask.Deadline)) {
-		return &Refusal{ErrTooLate, clampRetry(wait)}
+		return &Refusal{ErrDeadlineExceeded, clampRetry(wait)}
 	}
 	return nil
 }
 
 // Likely is the time within which nearly all of the service's requests end.
-func (s *Service) Likely() time.Duration {
+func (s *Service) TailLatency() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.times.likely()
@@ -263,7 +263,7 @@
 func (s *Service) retryAfter(account string, weight float64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return clampRetry(s.expectedWait(account, weight, s.queue.LenOf(account)+1))
+	return clampRetry(s.expectedWait(account, weight, s.queue.AccountLen(account)+1))
 }
 
 func clampRetry(d time.Duration) time.Duration {
@@ -277,9 +277,9 @@
 func (s *Service) Shed() {
 	now := s.options.Clock.Now()
 	s.mu.Lock()
-	taken := s.queue.TakeIf(func(w *admit.Waiter[*Backend], ahead int) bool {
+	taken := s.queue.RemoveIf(func(w *admit.Waiter[*Backend], ahead int) bool {
 		wait := s.expectedWait(w.Account, w.Weight, ahead)
-		return s.slots == 0 || now.Add(wait).After(w.Latest)
+		return s.slots == 0 || now.Add(wait).After(w.LatestStart)
 	})
 	s.mu.Unlock()
 	for _, w := range taken {
@@ -366,14 +366,14 @@
 }
 
 // Note says how an attempt went whose slot isn't given back yet.
-func (s *Service) Note(b *Backend, e Ended) {
+func (s *Service) RecordOutcome(b *Backend, e AttemptOutcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b.note(s.options.Clock.Now(), e)
 }
 
 // Release gives the slot back and notes how the attempt went.
-func (s *Service) Release(b *Backend, e Ended) {
+func (s *Service) Release(b *Backend, e AttemptOutcome) {
 	now := s.options.Clock.Now()
 	s.mu.Lock()
 	b.inFlight--
@@ -381,7 +381,7 @@
 		s.free++
 	}
 	b.note(now, e)
-	if d := max(e.Latency, e.Late); d > 0 {
+	if d := max(e.Latency, e.LateLatency); d > 0 {
 		s.times = s.times.with(d)
 	}
 	granted := s.grantWaiting()
@@ -416,7 +416,7 @@
 			return granted
 		}
 		w := s.queue.Pop()
-		if now.After(w.Latest) {
+		if now.After(w.LatestStart) {
 			b = nil
 		} else {
 			s.take(now, b)
--- a/internal/front/uplink/ask.go
+++ b/internal/front/uplink/ask.go
@@ -27,7 +27,7 @@
 )
 
 // Call is a method of a control replica.
-type Call[Q, R any] func(ctx context.Context, conn *grpc.ClientConn, request Q) (R, error)
+type Method[Q, R any] func(ctx context.Context, conn *grpc.ClientConn, request Q) (R, error)
 
 // Ask calls the leader, and the next one while it changes, until the context
 // ends or no leader can be expected in time. Only idempotent calls may be made
@@ -36,7 +36,7 @@
 //
 // Its error has code Unavailable if the call surely wasn't carried out, and
 // Aborted if it may have been; other codes are the leader's answer.
-func Ask[Q, R any](ctx context.Context, u *Uplink, request Q, call Call[Q, R]) (R, error) {
+func CallLeader[Q, R any](ctx context.Context, u *Uplink, request Q, call Method[Q, R]) (R, error) {
 	began := u.options.Clock.Now()
 	uncertain := false
 	for {
@@ -69,11 +69,11 @@
 
 // askOnce makes one try. It is given up once another leader is known: the one that
 // was asked may be dark, and would be waited for in vain.
-func askOnce[Q, R any](ctx context.Context, u *Uplink, request Q, call Call[Q, R]) (R, error) {
+func askOnce[Q, R any](ctx context.Context, u *Uplink, request Q, call Method[Q, R]) (R, error) {
 	address, changed := u.leaderNow()
 	if address == "" {
 		var none R
-		return none, status.Error(codes.Unavailable, NotDone+"no control leader is known")
+		return none, status.Error(codes.Unavailable, NotExecuted+"no control leader is known")
 	}
 	conn, err := u.options.Pool.Conn(address)
 	if err != nil {
@@ -105,11 +105,11 @@
 // broke under it. Only the system's own texts are trusted.
 func surelyNotDone(err error) bool {
 	s := status.Convert(err)
-	return s.Code() == codes.Unavailable && strings.HasPrefix(s.Message(), NotDone)
+	return s.Code() == codes.Unavailable && strings.HasPrefix(s.Message(), NotExecuted)
 }
 
-// NotDone begins the messages of refusals after which nothing was done.
-const NotDone = "not done: "
+// NotExecuted begins the messages of refusals after which nothing was done.
+const NotExecuted = "not done: "
 
 func final(err error, uncertain bool) error {
 	text := status.Convert(err).Message()
--- a/internal/front/uplink/ask_test.go
+++ b/internal/front/uplink/ask_test.go
@@ -37,7 +37,7 @@
 	t.Cleanup(pool.Close)
 	o.uplink = New(Options{
 		Clock: o.clock, Logger: slog.New(slog.NewTextHandler(io.Discard, nil)), Pool: pool,
-		Self: &wire.EntryStatus{EntryId: "e"}, EntriesChanged: func([]string) {},
+		Self: &wire.EntryStatus{EntryId: "e"}, OnEntriesChanged: func([]string) {},
 	})
 	for i, address := range voters {
 		o.hear(address, "", 1)
@@ -59,7 +59,7 @@
 }
 
 func (o *outage) ask(ctx context.Context) error {
-	_, err := Ask(ctx, o.uplink, 0, func(ctx context.Context, _ *grpc.ClientConn, _ int) (int, error) {
+	_, err := CallLeader(ctx, o.uplink, 0, func(ctx context.Context, _ *grpc.ClientConn, _ int) (int, error) {
 		o.asked = append(o.asked, o.uplink.LeaderAddress())
 		answer := o.answers[0]
 		o.answers = o.answers[1:]
--- a/internal/front/uplink/uplink.go
+++ b/internal/front/uplink/uplink.go
@@ -55,12 +55,12 @@
 		Addresses []string
 		Self      *wire.EntryStatus
 		// Configured is called with each newer configuration.
-		Configured func(*wire.ConfigurationVersion)
-		// EntriesChanged is called with the ids of the entries when they change.
-		EntriesChanged func(ids []string)
+		OnConfiguration func(*wire.ConfigurationVersion)
+		// OnEntriesChanged is called with the ids of the entries when they change.
+		OnEntriesChanged func(ids []string)
 		// Drained is called with the failure domains that get no new work when they
 		// change.
-		Drained func(domains []string)
+		OnDrainedChanged func(domains []string)
 	}
 
 	heard struct {
@@ -87,7 +87,7 @@
 		leaderChanged chan struct{}
 		// fetching guards against several loops fetching one version.
 		fetching sync.Mutex
-		// reviewing keeps EntriesChanged and Drained in the order of the views.
+		// reviewing keeps OnEntriesChanged and Drained in the order of the views.
 		reviewing sync.Mutex
 	}
 )
@@ -222,8 +222,8 @@
 		return
 	}
 	u.options.Logger.Info("drained failure domains changed", "domains", r.DrainedDomains, "revision", r.DrainRevision)
-	if u.options.Drained != nil {
-		u.options.Drained(r.DrainedDomains)
+	if u.options.OnDrainedChanged != nil {
+		u.options.OnDrainedChanged(r.DrainedDomains)
 	}
 }
 
@@ -272,7 +272,7 @@
 	ids := u.ids
 	u.mu.Unlock()
 	if changed {
-		u.options.EntriesChanged(ids)
+		u.options.OnEntriesChanged(ids)
 	}
 }
 
@@ -327,7 +327,7 @@
 		return
 	}
 	configFetched.Inc()
-	u.options.Configured(v)
+	u.options.OnConfiguration(v)
 	u.current.Store(v)
 	u.options.Logger.Info("configuration in force", "version", v.Version)
 }
@@ -384,8 +384,8 @@
 	return addresses
 }
 
-// InTouch tells whether a majority of the voters was heard lately.
-func (u *Uplink) InTouch() bool {
+// HasQuorum tells whether a majority of the voters was heard lately.
+func (u *Uplink) HasQuorum() bool {
 	heardLately, voters := u.countVoters(func(heard) bool { return true })
 	return voters > 0 && heardLately > voters/2
 }
@@ -413,9 +413,9 @@
 	return counted, len(addresses)
 }
 
-// CountTouch counts the time without a majority, once a second.
-func (u *Uplink) CountTouch() {
-	if !u.InTouch() {
+// CountQuorumLoss counts the time without a majority, once a second.
+func (u *Uplink) CountQuorumLoss() {
+	if !u.HasQuorum() {
 		withoutQuorum.Inc()
 	}
 }
@@ -431,7 +431,7 @@
 func (u *Uplink) Leader() (*grpc.ClientConn, error) {
 	address := u.LeaderAddress()
 	if address == "" {
-		return nil, status.Error(codes.Unavailable, NotDone+"no control leader is known")
+		return nil, status.Error(codes.Unavailable, NotExecuted+"no control leader is known")
 	}
 	return u.options.Pool.Conn(address)
 }
--- a/internal/run/ctrl/peer.go
+++ b/internal/run/ctrl/peer.go
@@ -35,7 +35,7 @@
 	outgoingAnswers = 4096
 	// notDone begins the messages of refusals after which nothing was done;
 	// entries tell them by it from connections that broke.
-	notDone = uplink.NotDone
+	notDone = uplink.NotExecuted
 	// dispatchGrace is how long a dispatch record outlives its request's
 	// deadline; a caller may ask until then what became of it.
 	dispatchGrace = 10 * time.Minute
--- a/internal/run/ctrl/work.go
+++ b/internal/run/ctrl/work.go
@@ -36,7 +36,7 @@
 	Platform struct {
 		// Carry takes an order to its agent and returns what became of it. It
 		// is called on a goroutine of its own.
-		Carry func(context.Context, drive.Order) drive.Answer
+		SendOrder func(context.Context, drive.Order) drive.Answer
 		// Advise asks the outside service at the address of the settings which
 		// agents may run a step. It is called on a goroutine of its own.
 		Advise func(context.Context, string, drive.AdviceRequest) drive.AdviceAnswer
@@ -101,7 +101,7 @@
 	_, leads := c.node.Leads()
 	core := c.node.Core()
 	term := core.Status().Term
-	if c.platform.Carry != nil && c.enoughVoters(core.Members()) {
+	if c.platform.SendOrder != nil && c.enoughVoters(core.Members()) {
 		c.drivenTerm = term
 	}
 	return term, leads && c.drivenTerm == term
@@ -114,7 +114,7 @@
 	go func() {
 		answer := drive.Answer{Order: o, Verdict: drive.Unsent, Detail: "no right to lead"}
 		if c.node.RightToLead(o.Fence) {
-			answer = c.platform.Carry(context.Background(), o)
+			answer = c.platform.SendOrder(context.Background(), o)
 			answer.Order = o
 		}
 		c.node.Post(func() { c.engine.Answered(boot.Now(), answer) })
--- a/internal/run/entry/desk.go
+++ b/internal/run/entry/desk.go
@@ -69,7 +69,7 @@
 // isn't answered, gives a log line.
 func (e *Entry) desk() desk.Desk {
 	d := desk.Over(func(ctx context.Context, once func(context.Context, desk.Conn) error) error {
-		_, err := uplink.Ask(ctx, e.uplink, struct{}{}, func(ctx context.Context, conn *grpc.ClientConn, _ struct{}) (struct{}, error) {
+		_, err := uplink.CallLeader(ctx, e.uplink, struct{}{}, func(ctx context.Context, conn *grpc.ClientConn, _ struct{}) (struct{}, error) {
 			return struct{}{}, once(ctx, conn)
 		})
 		return err
--- a/internal/run/entry/entry.go
+++ b/internal/run/entry/entry.go
@@ -65,7 +65,7 @@
 	uplink   *uplink.Uplink
 	relay    *relay.Relay
 	roster   *roster.Roster
-	calls    *calls.Calls
+	calls    *calls.Server
 	share    *sharer
 	server   *grpc.Server
 	health   *health.Server
@@ -127,24 +127,24 @@
 	e.divider.Store(&slots.Divider{})
 	e.uplink = uplink.New(uplink.Options{
 		Clock: e.clock, Logger: e.logger, Pool: &e.pool, Addresses: controlAddresses(e.settings),
-		Self:           &wire.EntryStatus{EntryId: common.InstanceId, Address: setup.Advertised(common), FailureDomain: common.FailureDomain},
-		Configured:     func(v *wire.ConfigurationVersion) { e.calls.Configure(v) },
-		EntriesChanged: e.entriesChanged,
-		Drained:        func(domains []string) { e.roster.SetDrained(e.clock.Now(), domains) },
+		Self:             &wire.EntryStatus{EntryId: common.InstanceId, Address: setup.Advertised(common), FailureDomain: common.FailureDomain},
+		OnConfiguration:  func(v *wire.ConfigurationVersion) { e.calls.Configure(v) },
+		OnEntriesChanged: e.entriesChanged,
+		OnDrainedChanged: func(domains []string) { e.roster.SetDrained(e.clock.Now(), domains) },
 	})
 	e.roster = roster.New(roster.Options{
-		Limit:   e.settings.EvidenceLimit.AsDuration(),
-		Changed: func(service string, usable []*wire.Announcement) { e.calls.Update(service, usable) },
+		MaxAge:   e.settings.EvidenceLimit.AsDuration(),
+		OnChange: func(service string, usable []*wire.Announcement) { e.calls.Update(service, usable) },
 	})
 	e.calls = calls.New(calls.Options{
 		Clock: e.clock, Settings: e.settings, Roster: e.roster,
 		Fence: fence.New(common.InstanceId, e.uplink, e.clock),
 		Route: route.Options{
 			Clock: e.clock, FailureDomain: common.FailureDomain, QueueLength: int(e.settings.QueueLength),
-			Part: func(server string, slots uint32) int {
-				return e.divider.Load().Part(server, slots, e.clock.Now())
+			SlotShare: func(server string, slots uint32) int {
+				return e.divider.Load().Share(server, slots, e.clock.Now())
 			},
-			Entries: func() int { return len(e.divider.Load().Entries()) },
+			EntryCount: func() int { return len(e.divider.Load().Entries()) },
 		},
 	})
 	e.relay = relay.New(common.InstanceId, e.uplink, e.clock, e.logger)
@@ -252,11 +252,11 @@
 			e.calls.Resize()
 		}
 		// Until its first slots are settled an entry could only refuse.
-		ready := hadSlots && e.uplink.Configuration() != nil && e.uplink.InTouch() && !e.draining.Load()
+		ready := hadSlots && e.uplink.Configuration() != nil && e.uplink.HasQuorum() && !e.draining.Load()
 		e.setReady(ready)
 		if now.Sub(lastSecond) >= secondsInterval {
 			lastSecond = now
-			e.uplink.CountTouch()
+			e.uplink.CountQuorumLoss()
 			e.pool.Keep(e.uplink.Addresses())
 		}
 	}
--- a/internal/run/entry/hear.go
+++ b/internal/run/entry/hear.go
@@ -72,7 +72,7 @@
 		if err != nil {
 			return err
 		}
-		if err := s.roster.Hear(s.clock.Now(), r.Announcement, 0, true); err != nil {
+		if err := s.roster.Announce(s.clock.Now(), r.Announcement, 0, true); err != nil {
 			return status.Error(codes.InvalidArgument, err.Error())
 		}
 		if last == nil || last.Leaving != r.Announcement.Leaving {
@@ -91,7 +91,7 @@
 	now := s.clock.Now()
 	for _, h := range r.Heard {
 		if age := h.GetAge().AsDuration(); age >= 0 {
-			_ = s.roster.Hear(now, h.Announcement, age, false) // counted there
+			_ = s.roster.Announce(now, h.Announcement, age, false) // counted there
 		}
 	}
 	return &wire.ShareRosterResponse{}, nil
@@ -120,7 +120,7 @@
 		case <-ticker.Chan():
 		case <-s.signal():
 		}
-		heard := s.entry.roster.Direct(s.entry.clock.Now())
+		heard := s.entry.roster.DirectAnnouncements(s.entry.clock.Now())
 		if len(heard) == 0 {
 			continue
 		}
--- a/internal/run/entry/pass.go
+++ b/internal/run/entry/pass.go
@@ -43,7 +43,7 @@
 func pass[C, Q, R any](ctx context.Context, e *Entry, client func(grpc.ClientConnInterface) C, method func(C, context.Context, Q, ...grpc.CallOption) (R, error), request Q) (R, error) {
 	ctx, cancel := context.WithTimeout(ctx, passTimeout)
 	defer cancel()
-	return uplink.Ask(ctx, e.uplink, request, func(ctx context.Context, conn *grpc.ClientConn, q Q) (R, error) {
+	return uplink.CallLeader(ctx, e.uplink, request, func(ctx context.Context, conn *grpc.ClientConn, q Q) (R, error) {
 		return method(client(conn), ctx, q)
 	})
 }
