--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -28,27 +28,27 @@
 const (
 	maxSlots       = 4096
 	maxConnections = 65536
-	maxName        = 128
-	// forgetAfter is how long a silent backend server is remembered, so that
+	maxNameBytes   = 128
+	// recordRetention is how long a silent backend server is remembered, so that
 	// a late announcement of a leaving one doesn't bring it back.
-	forgetAfter = 10 * time.Minute
+	recordRetention = 10 * time.Minute
 )
 
 // ErrInvalidAnnouncement is wrapped by every refusal of an announcement.
 var ErrInvalidAnnouncement = errors.New("impossible announcement")
 
 var (
-	heardTotal   = metrics.NewCounter("sycamoredeck_announcements_total")
-	refusedTotal = metrics.NewCounter("sycamoredeck_announcements_refused_total")
+	announcedTotal = metrics.NewCounter("sycamoredeck_announcements_total")
+	refusedTotal   = metrics.NewCounter("sycamoredeck_announcements_refused_total")
 )
 
 type (
 	record struct {
 		announcement *wire.Announcement
-		evidence     time.Time
+		lastSeen     time.Time
 		// direct is when it announced itself here, and not through a peer.
-		direct time.Time
-		usable bool
+		lastDirect time.Time
+		usable     bool
 	}
 
 	// Options are fixed for the life of a Roster.
@@ -80,8 +80,8 @@
 func Check(a *wire.Announcement) error {
 	_, _, addressErr := net.SplitHostPort(a.GetAddress())
 	switch {
-	case a.GetBackendServerId() == "" || len(a.BackendServerId) > maxName:
-		return fmt.Errorf("%w: BackendServerId must have 1 to %d bytes", ErrInvalidAnnouncement, maxName)
+	case a.GetBackendServerId() == "" || len(a.BackendServerId) > maxNameBytes:
+		return fmt.Errorf("%w: BackendServerId must have 1 to %d bytes", ErrInvalidAnnouncement, maxNameBytes)
 	case a.Incarnation == 0:
 		return fmt.Errorf("%w: Incarnation must be at least 1", ErrInvalidAnnouncement)
 	case !setup.NamePattern.MatchString(a.Service):
@@ -92,8 +92,8 @@
 		return fmt.Errorf("%w: Slots must be 1 to %d", ErrInvalidAnnouncement, maxSlots)
 	case a.Connections == 0 || a.Connections > maxConnections:
 		return fmt.Errorf("%w: Connections must be 1 to %d", ErrInvalidAnnouncement, maxConnections)
-	case len(a.FailureDomain) > maxName || len(a.WorkerId) > maxName:
-		return fmt.Errorf("%w: FailureDomain and WorkerId may have %d bytes", ErrInvalidAnnouncement, maxName)
+	case len(a.FailureDomain) > maxNameBytes || len(a.WorkerId) > maxNameBytes:
+		return fmt.Errorf("%w: FailureDomain and WorkerId may have %d bytes", ErrInvalidAnnouncement, maxNameBytes)
 	default:
 		return nil
 	}
@@ -106,7 +106,7 @@
 		refusedTotal.Inc()
 		return err
 	}
-	heardTotal.Inc()
+	announcedTotal.Inc()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	k := r.records[a.BackendServerId]
@@ -126,11 +126,11 @@
 	if changed {
 		k.announcement = a
 	}
-	if at := now.Add(-age); at.After(k.evidence) {
-		k.evidence = at
+	if at := now.Add(-age); at.After(k.lastSeen) {
+		k.lastSeen = at
 	}
 	if direct {
-		k.direct = now
+		k.lastDirect = now
 	}
 	usable := r.usable(k, now)
 	if !changed && usable == k.usable {
@@ -152,8 +152,8 @@
 	if k == nil || k.announcement.Incarnation != incarnation {
 		return
 	}
-	if now.After(k.evidence) {
-		k.evidence = now
+	if now.After(k.lastSeen) {
+		k.lastSeen = now
 	}
 	if leaving && !k.announcement.Leaving {
 		k.announcement = proto.Clone(k.announcement).(*wire.Announcement)
@@ -171,21 +171,21 @@
 	for _, d := range domains {
 		r.drained[d] = true
 	}
-	r.review(now)
+	r.refresh(now)
 }
 
 // Sweep takes those out of use whose evidence has grown too old.
 func (r *Roster) Sweep(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.review(now)
+	r.refresh(now)
 }
 
 // review works out anew which backend servers are usable.
-func (r *Roster) review(now time.Time) {
+func (r *Roster) refresh(now time.Time) {
 	changed := map[string]bool{}
 	for id, k := range r.records {
-		if now.Sub(k.evidence) > forgetAfter {
+		if now.Sub(k.lastSeen) > recordRetention {
 			delete(r.records, id)
 			continue
 		}
@@ -205,7 +205,7 @@
 	defer r.mu.Unlock()
 	var heard []*wire.HeardAnnouncement
 	for _, k := range r.records {
-		if age := now.Sub(k.direct); !k.direct.IsZero() && age <= r.options.MaxAge {
+		if age := now.Sub(k.lastDirect); !k.lastDirect.IsZero() && age <= r.options.MaxAge {
 			heard = append(heard, &wire.HeardAnnouncement{Announcement: k.announcement, Age: durationpb.New(age)})
 		}
 	}
@@ -219,7 +219,7 @@
 	var list []*wire.BackendServerStatus
 	for _, k := range r.records {
 		list = append(list, &wire.BackendServerStatus{
-			Announcement: k.announcement, EvidenceAge: durationpb.New(now.Sub(k.evidence)), Usable: r.usable(k, now),
+			Announcement: k.announcement, EvidenceAge: durationpb.New(now.Sub(k.lastSeen)), Usable: r.usable(k, now),
 		})
 	}
 	sort.Slice(list, func(i, j int) bool {
@@ -229,7 +229,7 @@
 }
 
 func (r *Roster) usable(k *record, now time.Time) bool {
-	return !k.announcement.Leaving && !r.drained[k.announcement.FailureDomain] && now.Sub(k.evidence) <= r.options.MaxAge
+	return !k.announcement.Leaving && !r.drained[k.announcement.FailureDomain] && now.Sub(k.lastSeen) <= r.options.MaxAge
 }
 
 func (r *Roster) notify(now time.Time, service string) {
--- a/internal/fleet/slots/slots.go
+++ b/internal/fleet/slots/slots.go
@@ -16,7 +16,7 @@
 
 type (
 	// past is a view that may still be in force at other entries.
-	past struct {
+	previousView struct {
 		entries []string
 		until   time.Time
 	}
@@ -24,10 +24,10 @@
 	// Divider gives an entry's part of slots. The zero value owns nothing. It
 	// is immutable; WithEntries gives its successor.
 	Divider struct {
-		self     string
-		entries  []string
-		past     []past
-		settling time.Duration
+		self       string
+		entries    []string
+		previous   []previousView
+		settleTime time.Duration
 	}
 )
 
@@ -36,13 +36,13 @@
 // the settling time, within which the others learn of the change: a slot may
 // be used only by the entry that owned it in every view of that time.
 func (d Divider) WithEntries(self string, entries []string, now time.Time, settling time.Duration) Divider {
-	next := Divider{self: self, entries: entries, settling: settling}
-	for _, p := range d.past {
+	next := Divider{self: self, entries: entries, settleTime: settling}
+	for _, p := range d.previous {
 		if now.Before(p.until) {
-			next.past = append(next.past, p)
+			next.previous = append(next.previous, p)
 		}
 	}
-	next.past = append(next.past, past{d.entries, now.Add(settling)})
+	next.previous = append(next.previous, previousView{d.entries, now.Add(settling)})
 	return next
 }
 
@@ -51,7 +51,7 @@
 
 // Settled tells whether all slots of the present view may be used.
 func (d Divider) Settled(now time.Time) bool {
-	for _, p := range d.past {
+	for _, p := range d.previous {
 		if now.Before(p.until) {
 			return false
 		}
@@ -74,7 +74,7 @@
 	if owner(d.entries, server, slot) != d.self {
 		return false
 	}
-	for _, p := range d.past {
+	for _, p := range d.previous {
 		if now.Before(p.until) && owner(p.entries, server, slot) != d.self {
 			return false
 		}
--- a/internal/front/admit/queue.go
+++ b/internal/front/admit/queue.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-var _ heap.Interface = (*line[int])(nil)
+var _ heap.Interface = (*accountQueue[int])(nil)
 
 type (
 	// Waiter is one call that waits. Grant is called once, when it is its turn.
@@ -28,18 +28,18 @@
 		index int // in its line, or -1
 	}
 
-	line[T any] struct {
+	accountQueue[T any] struct {
 		waiters []*Waiter[T]
 		// start is the virtual time at which the account's next call begins.
-		start float64
+		virtualStart float64
 	}
 
 	// Queue is a weighted fair queue. The zero value is empty and ready. It
 	// isn't safe for concurrent use.
 	Queue[T any] struct {
-		lines   map[string]*line[T]
-		virtual float64
-		length  int
+		accounts    map[string]*accountQueue[T]
+		virtualTime float64
+		length      int
 	}
 )
 
@@ -48,7 +48,7 @@
 
 // AccountLen is the number of an account's waiting calls.
 func (q *Queue[T]) AccountLen(account string) int {
-	if l := q.lines[account]; l != nil {
+	if l := q.accounts[account]; l != nil {
 		return len(l.waiters)
 	}
 	return 0
@@ -56,16 +56,16 @@
 
 // Push adds a call.
 func (q *Queue[T]) Push(w *Waiter[T]) {
-	if q.lines == nil {
-		q.lines = map[string]*line[T]{}
+	if q.accounts == nil {
+		q.accounts = map[string]*accountQueue[T]{}
 	}
-	l := q.lines[w.Account]
+	l := q.accounts[w.Account]
 	if l == nil {
-		l = &line[T]{start: q.virtual}
-		q.lines[w.Account] = l
+		l = &accountQueue[T]{virtualStart: q.virtualTime}
+		q.accounts[w.Account] = l
 	}
 	if len(l.waiters) == 0 {
-		l.start = max(l.start, q.virtual) // no credit for time spent idle
+		l.virtualStart = max(l.virtualStart, q.virtualTime) // no credit for time spent idle
 	}
 	heap.Push(l, w)
 	q.length++
@@ -73,12 +73,12 @@
 
 // Pop takes the call whose turn it is; nil when none waits.
 func (q *Queue[T]) Pop() *Waiter[T] {
-	var next *line[T]
-	for _, l := range q.lines {
+	var next *accountQueue[T]
+	for _, l := range q.accounts {
 		if len(l.waiters) == 0 {
 			continue
 		}
-		if next == nil || l.start < next.start || (l.start == next.start && l.waiters[0].Deadline.Before(next.waiters[0].Deadline)) {
+		if next == nil || l.virtualStart < next.virtualStart || (l.virtualStart == next.virtualStart && l.waiters[0].Deadline.Before(next.waiters[0].Deadline)) {
 			next = l
 		}
 	}
@@ -87,15 +87,15 @@
 	}
 	w := heap.Pop(next).(*Waiter[T])
 	q.length--
-	q.virtual = next.start
-	next.start += 1 / max(w.Weight, 1e-9)
+	q.virtualTime = next.virtualStart
+	next.virtualStart += 1 / max(w.Weight, 1e-9)
 	q.prune()
 	return w
 }
 
 // Remove takes a call out; false when it isn't there any more.
 func (q *Queue[T]) Remove(w *Waiter[T]) bool {
-	l := q.lines[w.Account]
+	l := q.accounts[w.Account]
 	if l == nil || w.index < 0 || w.index >= len(l.waiters) || l.waiters[w.index] != w {
 		return false
 	}
@@ -108,7 +108,7 @@
 // many of the account's calls that stay go before each.
 func (q *Queue[T]) RemoveIf(hopeless func(w *Waiter[T], ahead int) bool) []*Waiter[T] {
 	var taken []*Waiter[T]
-	for _, l := range q.lines {
+	for _, l := range q.accounts {
 		inOrder := slices.Clone(l.waiters)
 		slices.SortFunc(inOrder, func(a, b *Waiter[T]) int { return a.Deadline.Compare(b.Deadline) })
 		ahead := 0
@@ -128,7 +128,7 @@
 // do, itself included.
 func (q *Queue[T]) Share(account string, weight float64) float64 {
 	total := weight
-	for name, l := range q.lines {
+	for name, l := range q.accounts {
 		if name != account && len(l.waiters) > 0 {
 			total += l.waiters[0].Weight
 		}
@@ -138,38 +138,40 @@
 
 // prune forgets empty lines that have no debt left.
 func (q *Queue[T]) prune() {
-	for name, l := range q.lines {
-		if len(l.waiters) == 0 && l.start <= q.virtual {
-			delete(q.lines, name)
+	for name, l := range q.accounts {
+		if len(l.waiters) == 0 && l.virtualStart <= q.virtualTime {
+			delete(q.accounts, name)
 		}
 	}
 }
 
 // Len is part of heap.Interface; a line is a heap by deadline.
-func (l *line[T]) Len() int { return len(l.waiters) }
+func (a *accountQueue[T]) Len() int { return len(a.waiters) }
 
 // Less is part of heap.Interface.
-func (l *line[T]) Less(i, j int) bool { return l.waiters[i].Deadline.Before(l.waiters[j].Deadline) }
+func (a *accountQueue[T]) Less(i, j int) bool {
+	return a.waiters[i].Deadline.Before(a.waiters[j].Deadline)
+}
 
 // Swap is part of heap.Interface.
-func (l *line[T]) Swap(i, j int) {
-	l.waiters[i], l.waiters[j] = l.waiters[j], l.waiters[i]
-	l.waiters[i].index, l.waiters[j].index = i, j
+func (a *accountQueue[T]) Swap(i, j int) {
+	a.waiters[i], a.waiters[j] = a.waiters[j], a.waiters[i]
+	a.waiters[i].index, a.waiters[j].index = i, j
 }
 
 // Push is part of heap.Interface.
-func (l *line[T]) Push(x any) {
+func (a *accountQueue[T]) Push(x any) {
 	w := x.(*Waiter[T])
-	w.index = len(l.waiters)
-	l.waiters = append(l.waiters, w)
+	w.index = len(a.waiters)
+	a.waiters = append(a.waiters, w)
 }
 
 // Pop is part of heap.Interface.
-func (l *line[T]) Pop() any {
-	last := len(l.waiters) - 1
-	w := l.waiters[last]
-	l.waiters[last] = nil
-	l.waiters = l.waiters[:last]
+func (a *accountQueue[T]) Pop() any {
+	last := len(a.waiters) - 1
+	w := a.waiters[last]
+	a.waiters[last] = nil
+	a.waiters = a.waiters[:last]
 	w.index = -1
 	return w
 }
--- a/internal/front/calls/calls.go
+++ b/internal/front/calls/calls.go
@@ -27,15 +27,15 @@
 
 const (
 	maxRequestID = 128
-	// attemptPart is the part of the remaining time that an attempt gets
+	// attemptShare is the part of the remaining time that an attempt gets
 	// while another may follow it, so that a backend server that hangs
 	// doesn't use up the whole.
-	attemptPart = 0.6
-	// outcomeGrace is how long past its deadline a request may still be told
+	attemptShare = 0.6
+	// abortTimeout is how long past its deadline a request may still be told
 	// that it wasn't run, while its record is cleared.
-	outcomeGrace = 500 * time.Millisecond
-	// againRetryAfter is told where nothing better is known.
-	againRetryAfter = 100 * time.Millisecond
+	abortTimeout = 500 * time.Millisecond
+	// defaultRetryAfter is told where nothing better is known.
+	defaultRetryAfter = 100 * time.Millisecond
 )
 
 var (
@@ -60,7 +60,7 @@
 	}
 
 	// book is the configuration as calls need it. It is immutable.
-	book struct {
+	configIndex struct {
 		accounts map[string]*wire.ClientAccount
 		services map[string]*wire.Service
 	}
@@ -72,24 +72,24 @@
 		budget  retry.Budget
 
 		mu       sync.RWMutex
-		book     *book
+		config   *configIndex
 		services map[string]*route.Service
 	}
 
 	// call is one request on its way.
 	call struct {
-		request  *wire.CallRequest
-		account  *wire.ClientAccount
-		service  *route.Service
-		began    time.Time
-		deadline time.Time
-		attempts uint32
+		request   *wire.CallRequest
+		account   *wire.ClientAccount
+		service   *route.Service
+		startedAt time.Time
+		deadline  time.Time
+		attempts  uint32
 		// mayHaveRun is set once an attempt ended without being known. Of a
 		// resend that isn't idempotent it is assumed, until its record shows
 		// that no earlier send can have run.
 		mayHaveRun bool
 		tried      []string
-		pass       *fence.Permit
+		permit     *fence.Permit
 	}
 )
 
@@ -106,7 +106,7 @@
 
 // Configure puts a configuration in force.
 func (c *Server) Configure(v *wire.ConfigurationVersion) {
-	b := &book{accounts: map[string]*wire.ClientAccount{}, services: map[string]*wire.Service{}}
+	b := &configIndex{accounts: map[string]*wire.ClientAccount{}, services: map[string]*wire.Service{}}
 	for _, a := range v.Configuration.GetClientAccounts() {
 		b.accounts[a.Name] = a
 	}
@@ -115,7 +115,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.book = b
+	c.config = b
 }
 
 // Update tells the usable backend servers of a service.
@@ -171,12 +171,12 @@
 	} else {
 		response = c.runOnce(ctx, one)
 	}
-	callSeconds.UpdateDuration(one.began)
-	count(response.Outcome)
+	callSeconds.UpdateDuration(one.startedAt)
+	countOutcome(response.Outcome)
 	return response, nil
 }
 
-func count(o wire.Outcome) {
+func countOutcome(o wire.Outcome) {
 	switch o {
 	case wire.Outcome_OUTCOME_COMPLETED:
 		completedTotal.Inc()
@@ -193,14 +193,14 @@
 		return nil, err
 	}
 	c.mu.RLock()
-	b := c.book
+	b := c.config
 	c.mu.RUnlock()
 	if b == nil {
 		return nil, status.Error(codes.Unavailable, "this entry has no configuration yet")
 	}
 	account, service := b.accounts[r.ClientAccount], b.services[r.Service]
 	if account == nil || service == nil || service.ClientAccount != r.ClientAccount {
-		return nil, unknownName(r, account != nil)
+		return nil, unknownNameError(r, account != nil)
 	}
 	timeout, err := c.timeout(r, service)
 	if err != nil {
@@ -209,13 +209,13 @@
 	now := c.options.Clock.Now()
 	return &call{
 		request: r, account: account, service: c.service(r.Service),
-		began: now, deadline: now.Add(timeout),
+		startedAt: now, deadline: now.Add(timeout),
 		mayHaveRun: r.Resend && !r.Idempotent,
 	}, nil
 }
 
 func checkRequest(r *wire.CallRequest, maxPayload int) error {
-	if len(r.RequestId) == 0 || len(r.RequestId) > maxRequestID || !visible(r.RequestId) {
+	if len(r.RequestId) == 0 || len(r.RequestId) > maxRequestID || !visibleASCII(r.RequestId) {
 		return status.Errorf(codes.InvalidArgument, "RequestId must have 1 to %d visible ASCII characters", maxRequestID)
 	}
 	if len(r.Payload) > maxPayload {
@@ -224,9 +224,9 @@
 	return nil
 }
 
-// unknownName tells a name that isn't configured from one that can't be. Known
+// unknownNameError tells a name that isn't configured from one that can't be. Known
 // names were checked when they were configured.
-func unknownName(r *wire.CallRequest, accountKnown bool) error {
+func unknownNameError(r *wire.CallRequest, accountKnown bool) error {
 	switch {
 	case !setup.NamePattern.MatchString(r.ClientAccount):
 		return status.Errorf(codes.InvalidArgument, "ClientAccount: %q isn't a name", r.ClientAccount)
@@ -240,7 +240,7 @@
 }
 
 // visible keeps out what would break a header line.
-func visible(s string) bool {
+func visibleASCII(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
 			return false
@@ -280,24 +280,24 @@
 	ctx, cancel := context.WithDeadline(ctx, one.deadline)
 	defer cancel()
 	response := c.run(ctx, one)
-	if one.pass != nil {
-		response = c.settle(ctx, one, response)
+	if one.permit != nil {
+		response = c.closeDispatch(ctx, one, response)
 	}
 	// A response given without a look at the record isn't held: it says
 	// nothing that the next send couldn't learn better.
-	c.options.Fence.Finish(run, response, one.pass != nil)
+	c.options.Fence.Finish(run, response, one.permit != nil)
 	return response
 }
 
 // settle brings the dispatch record in line with the response.
-func (c *Server) settle(ctx context.Context, one *call, response *wire.CallResponse) *wire.CallResponse {
+func (c *Server) closeDispatch(ctx context.Context, one *call, response *wire.CallResponse) *wire.CallResponse {
 	switch response.Outcome {
 	case wire.Outcome_OUTCOME_COMPLETED:
-		c.options.Fence.Complete(one.pass)
+		c.options.Fence.Complete(one.permit)
 	case wire.Outcome_OUTCOME_NOT_RUN:
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), outcomeGrace)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), abortTimeout)
 		defer cancel()
-		if err := c.options.Fence.Abort(ctx, one.pass); err != nil {
+		if err := c.options.Fence.Abort(ctx, one.permit); err != nil {
 			// It was not run, but a record that says it may have been would
 			// answer the caller's next try, against this answer.
 			return one.unknown("not run, but its record could not be cleared")
@@ -316,7 +316,7 @@
 			return response
 		}
 		if !c.mayRetry(ctx, one) {
-			return one.gaveUp(err)
+			return one.exhausted(err)
 		}
 		retriesTotal.Inc()
 	}
@@ -340,7 +340,7 @@
 		Account: one.request.ClientAccount, Weight: one.account.Share,
 		Deadline: one.deadline, Tried: one.tried,
 	}
-	if response := c.fenced(ctx, one, ask); response != nil {
+	if response := c.openDispatch(ctx, one, ask); response != nil {
 		return response, nil
 	}
 	b, err := one.service.Acquire(ctx, ask)
@@ -350,7 +350,7 @@
 	began := c.options.Clock.Now()
 	if !began.Before(one.deadline) {
 		one.service.Release(b, route.AttemptOutcome{})
-		return one.notRun("the deadline passed before it was sent", againRetryAfter), nil
+		return one.notRun("the deadline passed before it was sent", defaultRetryAfter), nil
 	}
 	one.attempts++
 	attemptsTotal.Inc()
@@ -360,7 +360,7 @@
 		Payload: one.request.Payload, Deadline: c.attemptDeadline(one, began),
 		Idempotent: one.request.Idempotent, MaxResponseBytes: int(c.options.Settings.MaxPayloadBytes),
 	})
-	c.finish(one, b, began, answer, late, err)
+	c.recordAttempt(one, b, began, answer, late, err)
 	if err == nil {
 		return one.completed(b.ID(), answer), nil
 	}
@@ -374,14 +374,14 @@
 	if !one.request.Idempotent || one.attempts >= c.options.Settings.MaxAttempts {
 		return one.deadline
 	}
-	part := time.Duration(float64(one.deadline.Sub(now)) * attemptPart)
+	part := time.Duration(float64(one.deadline.Sub(now)) * attemptShare)
 	if part < one.service.TailLatency() {
 		return one.deadline
 	}
 	return now.Add(part)
 }
 
-func (c *Server) finish(one *call, b *route.Backend, began time.Time, answer route.Response, late func() bool, err error) {
+func (c *Server) recordAttempt(one *call, b *route.Backend, began time.Time, answer route.Response, late func() bool, err error) {
 	now := c.options.Clock.Now()
 	ended := route.AttemptOutcome{}
 	switch {
@@ -412,58 +412,58 @@
 // all of its time, and calls that need no record would wait with it. What
 // would be refused a slot now isn't recorded first, so that overload of a
 // service adds no commits.
-func (c *Server) fenced(ctx context.Context, one *call, ask route.SlotRequest) *wire.CallResponse {
-	if one.request.Idempotent || one.pass != nil {
+func (c *Server) openDispatch(ctx context.Context, one *call, ask route.SlotRequest) *wire.CallResponse {
+	if one.request.Idempotent || one.permit != nil {
 		return nil
 	}
 	if err := one.service.Check(ask); err != nil {
 		return one.refused(err)
 	}
-	pass, recorded, err := c.options.Fence.Open(ctx, one.request, one.deadline.Sub(one.began))
+	pass, recorded, err := c.options.Fence.Open(ctx, one.request, one.deadline.Sub(one.startedAt))
 	switch {
 	case err != nil:
-		return one.notRun("its dispatch can't be recorded: "+status.Convert(err).Message(), againRetryAfter)
+		return one.notRun("its dispatch can't be recorded: "+status.Convert(err).Message(), defaultRetryAfter)
 	case pass == nil && recorded.State == wire.DispatchState_DISPATCH_STATE_COMPLETED:
 		return one.unknown("it was completed through entry " + recorded.EntryId + ", whose answer isn't held here")
 	case pass == nil:
 		return one.unknown("it was sent through entry " + recorded.EntryId)
 	}
-	one.pass, one.mayHaveRun = pass, false
+	one.permit, one.mayHaveRun = pass, false
 	return nil
 }
 
-func (one *call) completed(server string, a route.Response) *wire.CallResponse {
+func (c *call) completed(server string, a route.Response) *wire.CallResponse {
 	return &wire.CallResponse{
-		RequestId: one.request.RequestId, Outcome: wire.Outcome_OUTCOME_COMPLETED,
-		Payload: a.Payload, Status: uint32(a.Status), Attempts: one.attempts, BackendServerId: server,
+		RequestId: c.request.RequestId, Outcome: wire.Outcome_OUTCOME_COMPLETED,
+		Payload: a.Payload, Status: uint32(a.Status), Attempts: c.attempts, BackendServerId: server,
 	}
 }
 
-func (one *call) notRun(reason string, retryAfter time.Duration) *wire.CallResponse {
-	if one.mayHaveRun {
-		return one.unknown(reason)
+func (c *call) notRun(reason string, retryAfter time.Duration) *wire.CallResponse {
+	if c.mayHaveRun {
+		return c.unknown(reason)
 	}
 	return &wire.CallResponse{
-		RequestId: one.request.RequestId, Outcome: wire.Outcome_OUTCOME_NOT_RUN,
-		Reason: reason, RetryAfter: durationpb.New(retryAfter), Attempts: one.attempts,
+		RequestId: c.request.RequestId, Outcome: wire.Outcome_OUTCOME_NOT_RUN,
+		Reason: reason, RetryAfter: durationpb.New(retryAfter), Attempts: c.attempts,
 	}
 }
 
-func (one *call) unknown(reason string) *wire.CallResponse {
+func (c *call) unknown(reason string) *wire.CallResponse {
 	return &wire.CallResponse{
-		RequestId: one.request.RequestId, Outcome: wire.Outcome_OUTCOME_UNKNOWN,
-		Reason: reason, Attempts: one.attempts,
+		RequestId: c.request.RequestId, Outcome: wire.Outcome_OUTCOME_UNKNOWN,
+		Reason: reason, Attempts: c.attempts,
 	}
 }
 
-func (one *call) refused(err error) *wire.CallResponse {
+func (c *call) refused(err error) *wire.CallResponse {
 	var refusal *route.Refusal
 	if errors.As(err, &refusal) {
-		return one.notRun(refusal.Error(), refusal.RetryAfter)
+		return c.notRun(refusal.Error(), refusal.RetryAfter)
 	}
-	return one.notRun(err.Error(), againRetryAfter)
+	return c.notRun(err.Error(), defaultRetryAfter)
 }
 
-func (one *call) gaveUp(err error) *wire.CallResponse {
-	return one.notRun(fmt.Sprintf("gave up after %d attempts: %v", one.attempts, err), againRetryAfter)
+func (c *call) exhausted(err error) *wire.CallResponse {
+	return c.notRun(fmt.Sprintf("gave up after %d attempts: %v", c.attempts, err), defaultRetryAfter)
 }
--- a/internal/front/desk/desk.go
+++ b/internal/front/desk/desk.go
@@ -44,20 +44,20 @@
 // Remote is a desk that asks the replica to which dial gives a connection.
 func Remote(dial func() (Conn, error)) Desk {
 	return Desk{
-		Submit:     ask(dial, wire.WorkServiceClient.SubmitWork),
-		Inspect:    ask(dial, wire.WorkServiceClient.InspectWork),
-		Cancel:     ask(dial, wire.WorkServiceClient.CancelWork),
-		PutCatalog: ask(dial, wire.WorkServiceClient.PutCatalog),
-		GetCatalog: ask(dial, wire.WorkServiceClient.GetCatalog),
-		Report:     ask(dial, wire.WorkServiceClient.ReportAgent),
-		Drain:      ask(dial, wire.WorkServiceClient.DrainDomain),
-		Domains:    ask(dial, wire.WorkServiceClient.ListDomains),
+		Submit:     remoteCall(dial, wire.WorkServiceClient.SubmitWork),
+		Inspect:    remoteCall(dial, wire.WorkServiceClient.InspectWork),
+		Cancel:     remoteCall(dial, wire.WorkServiceClient.CancelWork),
+		PutCatalog: remoteCall(dial, wire.WorkServiceClient.PutCatalog),
+		GetCatalog: remoteCall(dial, wire.WorkServiceClient.GetCatalog),
+		Report:     remoteCall(dial, wire.WorkServiceClient.ReportAgent),
+		Drain:      remoteCall(dial, wire.WorkServiceClient.DrainDomain),
+		Domains:    remoteCall(dial, wire.WorkServiceClient.ListDomains),
 	}
 }
 
 type method[Q, R any] = func(wire.WorkServiceClient, context.Context, *Q, ...grpc.CallOption) (*R, error)
 
-func ask[Q, R any](dial func() (Conn, error), call method[Q, R]) func(context.Context, *Q) (*R, error) {
+func remoteCall[Q, R any](dial func() (Conn, error), call method[Q, R]) func(context.Context, *Q) (*R, error) {
 	return func(ctx context.Context, request *Q) (*R, error) {
 		conn, err := dial()
 		if err != nil {
@@ -70,18 +70,18 @@
 // Choose is a desk that takes the first of two while here is true.
 func Choose(here func() bool, first, second Desk) Desk {
 	return Desk{
-		Submit:     either(here, first.Submit, second.Submit),
-		Inspect:    either(here, first.Inspect, second.Inspect),
-		Cancel:     either(here, first.Cancel, second.Cancel),
-		PutCatalog: either(here, first.PutCatalog, second.PutCatalog),
-		GetCatalog: either(here, first.GetCatalog, second.GetCatalog),
-		Report:     either(here, first.Report, second.Report),
-		Drain:      either(here, first.Drain, second.Drain),
-		Domains:    either(here, first.Domains, second.Domains),
+		Submit:     chooseCall(here, first.Submit, second.Submit),
+		Inspect:    chooseCall(here, first.Inspect, second.Inspect),
+		Cancel:     chooseCall(here, first.Cancel, second.Cancel),
+		PutCatalog: chooseCall(here, first.PutCatalog, second.PutCatalog),
+		GetCatalog: chooseCall(here, first.GetCatalog, second.GetCatalog),
+		Report:     chooseCall(here, first.Report, second.Report),
+		Drain:      chooseCall(here, first.Drain, second.Drain),
+		Domains:    chooseCall(here, first.Domains, second.Domains),
 	}
 }
 
-func either[Q, R any](here func() bool, first, second func(context.Context, *Q) (*R, error)) func(context.Context, *Q) (*R, error) {
+func chooseCall[Q, R any](here func() bool, first, second func(context.Context, *Q) (*R, error)) func(context.Context, *Q) (*R, error) {
 	return func(ctx context.Context, request *Q) (*R, error) {
 		if here() {
 			return first(ctx, request)
@@ -94,18 +94,18 @@
 // All calls are idempotent.
 func Over(again func(ctx context.Context, once func(context.Context, Conn) error) error) Desk {
 	return Desk{
-		Submit:     over(again, wire.WorkServiceClient.SubmitWork),
-		Inspect:    over(again, wire.WorkServiceClient.InspectWork),
-		Cancel:     over(again, wire.WorkServiceClient.CancelWork),
-		PutCatalog: over(again, wire.WorkServiceClient.PutCatalog),
-		GetCatalog: over(again, wire.WorkServiceClient.GetCatalog),
-		Report:     over(again, wire.WorkServiceClient.ReportAgent),
-		Drain:      over(again, wire.WorkServiceClient.DrainDomain),
-		Domains:    over(again, wire.WorkServiceClient.ListDomains),
+		Submit:     retriedCall(again, wire.WorkServiceClient.SubmitWork),
+		Inspect:    retriedCall(again, wire.WorkServiceClient.InspectWork),
+		Cancel:     retriedCall(again, wire.WorkServiceClient.CancelWork),
+		PutCatalog: retriedCall(again, wire.WorkServiceClient.PutCatalog),
+		GetCatalog: retriedCall(again, wire.WorkServiceClient.GetCatalog),
+		Report:     retriedCall(again, wire.WorkServiceClient.ReportAgent),
+		Drain:      retriedCall(again, wire.WorkServiceClient.DrainDomain),
+		Domains:    retriedCall(again, wire.WorkServiceClient.ListDomains),
 	}
 }
 
-func over[Q, R any](again func(context.Context, func(context.Context, Conn) error) error, call method[Q, R]) func(context.Context, *Q) (*R, error) {
+func retriedCall[Q, R any](again func(context.Context, func(context.Context, Conn) error) error, call method[Q, R]) func(context.Context, *Q) (*R, error) {
 	return func(ctx context.Context, request *Q) (response *R, err error) {
 		err = again(ctx, func(ctx context.Context, conn Conn) error {
 			response, err = call(wire.NewWorkServiceClient(conn), ctx, request)
--- a/internal/front/fence/fence.go
+++ b/internal/front/fence/fence.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	// heldFor is how long answers are held for callers who ask again.
-	heldFor = time.Minute
-	// maxHeldBytes bounds the answers held by an entry.
-	maxHeldBytes = 64 << 20
-	closeTimeout = 5 * time.Second
+	// responseTTL is how long answers are held for callers who ask again.
+	responseTTL = time.Minute
+	// maxCachedBytes bounds the answers held by an entry.
+	maxCachedBytes = 64 << 20
+	closeTimeout   = 5 * time.Second
 )
 
 var (
@@ -41,19 +41,19 @@
 		clock   clockwork.Clock
 		entryID string
 
-		mu        sync.Mutex
-		runs      map[string]*Execution
-		held      []*Execution // ended ones, the oldest first
-		heldBytes int
+		mu          sync.Mutex
+		executions  map[string]*Execution
+		cached      []*Execution // ended ones, the oldest first
+		cachedBytes int
 	}
 
 	// Run is one request that goes through this entry. Callers who send the
 	// same request id join it.
 	Execution struct {
-		key      string
-		done     chan struct{}
-		response *wire.CallResponse
-		ended    time.Time
+		key        string
+		done       chan struct{}
+		response   *wire.CallResponse
+		finishedAt time.Time
 	}
 
 	// Pass is the right to send a request once.
@@ -65,7 +65,7 @@
 
 // New returns a fence that commits its records through the uplink.
 func New(entryID string, u *uplink.Uplink, clock clockwork.Clock) *Fence {
-	return &Fence{uplink: u, clock: clock, entryID: entryID, runs: map[string]*Execution{}}
+	return &Fence{uplink: u, clock: clock, entryID: entryID, executions: map[string]*Execution{}}
 }
 
 // Join returns the run of this request at this entry, and whether it is new;
@@ -74,21 +74,21 @@
 	key := r.ClientAccount + "\x00" + r.RequestId
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.dropOld()
-	if run := f.runs[key]; run != nil {
+	f.evictExpired()
+	if run := f.executions[key]; run != nil {
 		joinedTotal.Inc()
 		return run, false
 	}
 	run := &Execution{key: key, done: make(chan struct{})}
-	f.runs[key] = run
+	f.executions[key] = run
 	return run, true
 }
 
 // Wait returns the run's response, or nil if the context ends first.
-func (run *Execution) Wait(ctx context.Context) *wire.CallResponse {
+func (e *Execution) Wait(ctx context.Context) *wire.CallResponse {
 	select {
-	case <-run.done:
-		return run.response
+	case <-e.done:
+		return e.response
 	case <-ctx.Done():
 		return nil
 	}
@@ -99,24 +99,24 @@
 func (f *Fence) Finish(run *Execution, response *wire.CallResponse, hold bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	run.response, run.ended = response, f.clock.Now()
+	run.response, run.finishedAt = response, f.clock.Now()
 	close(run.done)
 	if !hold || response.Outcome == wire.Outcome_OUTCOME_NOT_RUN {
-		delete(f.runs, run.key)
+		delete(f.executions, run.key)
 		return
 	}
-	f.held = append(f.held, run)
-	f.heldBytes += len(response.Payload)
-	f.dropOld()
+	f.cached = append(f.cached, run)
+	f.cachedBytes += len(response.Payload)
+	f.evictExpired()
 }
 
-func (f *Fence) dropOld() {
+func (f *Fence) evictExpired() {
 	now := f.clock.Now()
-	for len(f.held) > 0 && (f.heldBytes > maxHeldBytes || now.Sub(f.held[0].ended) > heldFor) {
-		oldest := f.held[0]
-		f.held = f.held[1:]
-		f.heldBytes -= len(oldest.response.Payload)
-		delete(f.runs, oldest.key)
+	for len(f.cached) > 0 && (f.cachedBytes > maxCachedBytes || now.Sub(f.cached[0].finishedAt) > responseTTL) {
+		oldest := f.cached[0]
+		f.cached = f.cached[1:]
+		f.cachedBytes -= len(oldest.response.Payload)
+		delete(f.executions, oldest.key)
 	}
 }
 
@@ -133,7 +133,7 @@
 		return wire.NewControlServiceClient(conn).OpenDispatch(ctx, q)
 	})
 	if err != nil {
-		f.close(p, true) // the record may stand though its answer was lost
+		f.closeAsync(p, true) // the record may stand though its answer was lost
 		return nil, nil, err
 	}
 	if !got.Granted {
@@ -147,7 +147,7 @@
 // Completed records that the request was run, without waiting: an open record
 // keeps others from sending it just as well.
 func (f *Fence) Complete(p *Permit) {
-	f.close(p, false)
+	f.closeAsync(p, false)
 }
 
 // Abort clears the record of a request that was proved not run, and waits
@@ -156,7 +156,7 @@
 	return f.commitClose(ctx, p, true)
 }
 
-func (f *Fence) close(p *Permit, notRun bool) {
+func (f *Fence) closeAsync(p *Permit, notRun bool) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 		defer cancel()
--- a/internal/front/relay/relay.go
+++ b/internal/front/relay/relay.go
@@ -24,22 +24,22 @@
 )
 
 const (
-	// queuedReports bounds what waits for the leader. A report that is
+	// reportQueueSize bounds what waits for the leader. A report that is
 	// dropped is followed by a newer one within a second.
-	queuedReports = 8192
-	queuedAnswers = 64
-	reconnectWait = 50 * time.Millisecond
-	// leaderPoll is how often a stream looks whether it goes to the leader.
-	leaderPoll = 100 * time.Millisecond
-	// silentLimit is how long reports may go unanswered before the stream is
+	reportQueueSize = 8192
+	answerQueueSize = 64
+	reconnectDelay  = 50 * time.Millisecond
+	// leaderCheckInterval is how often a stream looks whether it goes to the leader.
+	leaderCheckInterval = 100 * time.Millisecond
+	// unansweredTimeout is how long reports may go unanswered before the stream is
 	// given up: workers' leases run out while it is silent.
-	silentLimit = 1500 * time.Millisecond
+	unansweredTimeout = 1500 * time.Millisecond
 )
 
 var (
-	droppedReports = metrics.NewCounter("sycamoredeck_relay_reports_dropped_total")
-	refusedReports = metrics.NewCounter("sycamoredeck_relay_reports_refused_total")
-	silentStreams  = metrics.NewCounter("sycamoredeck_relay_streams_silent_total")
+	droppedReports    = metrics.NewCounter("sycamoredeck_relay_reports_dropped_total")
+	refusedReports    = metrics.NewCounter("sycamoredeck_relay_reports_refused_total")
+	unansweredStreams = metrics.NewCounter("sycamoredeck_relay_streams_silent_total")
 )
 
 type (
@@ -54,11 +54,11 @@
 		closing chan struct{}
 
 		mu      sync.Mutex
-		workers map[string]*attendant
+		streams map[string]*workerStream
 	}
 
 	// attendant is one worker's stream at this entry.
-	attendant struct {
+	workerStream struct {
 		incarnation string
 		answers     chan *wire.AttendResponse
 	}
@@ -70,9 +70,9 @@
 func New(entryID string, u *uplink.Uplink, clock clockwork.Clock, logger *slog.Logger) *Relay {
 	return &Relay{
 		uplink: u, clock: clock, logger: logger, entryID: entryID,
-		reports: make(chan *wire.AttendRequest, queuedReports),
+		reports: make(chan *wire.AttendRequest, reportQueueSize),
 		closing: make(chan struct{}),
-		workers: map[string]*attendant{},
+		streams: map[string]*workerStream{},
 	}
 }
 
@@ -81,7 +81,7 @@
 
 // Attend hears one worker until its stream ends.
 func (r *Relay) Attend(stream grpc.BidiStreamingServer[wire.AttendRequest, wire.AttendResponse]) error {
-	a := &attendant{answers: make(chan *wire.AttendResponse, queuedAnswers)}
+	a := &workerStream{answers: make(chan *wire.AttendResponse, answerQueueSize)}
 	received := make(chan error, 1)
 	go func() { received <- r.receive(stream, a) }()
 	for {
@@ -98,9 +98,9 @@
 	}
 }
 
-func (r *Relay) receive(stream grpc.BidiStreamingServer[wire.AttendRequest, wire.AttendResponse], a *attendant) error {
+func (r *Relay) receive(stream grpc.BidiStreamingServer[wire.AttendRequest, wire.AttendResponse], a *workerStream) error {
 	var worker string
-	defer func() { r.leave(worker, a) }()
+	defer func() { r.unregister(worker, a) }()
 	for {
 		report, err := stream.Recv()
 		if errors.Is(err, io.EOF) {
@@ -118,7 +118,7 @@
 			return status.Error(codes.InvalidArgument, "Worker.WorkerId has changed within the stream")
 		}
 		worker = report.Worker.WorkerId
-		r.join(report, a)
+		r.register(report, a)
 		select {
 		case r.reports <- report:
 		default:
@@ -127,18 +127,18 @@
 	}
 }
 
-func (r *Relay) join(report *wire.AttendRequest, a *attendant) {
+func (r *Relay) register(report *wire.AttendRequest, a *workerStream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	a.incarnation = report.Worker.Incarnation
-	r.workers[report.Worker.WorkerId] = a
+	r.streams[report.Worker.WorkerId] = a
 }
 
-func (r *Relay) leave(worker string, a *attendant) {
+func (r *Relay) unregister(worker string, a *workerStream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.workers[worker] == a {
-		delete(r.workers, worker)
+	if r.streams[worker] == a {
+		delete(r.streams, worker)
 	}
 }
 
@@ -146,17 +146,17 @@
 func (r *Relay) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if address := r.uplink.LeaderAddress(); address != "" {
-			r.stream(ctx, address)
+			r.runStream(ctx, address)
 		}
 		select {
 		case <-ctx.Done():
-		case <-r.clock.After(reconnectWait):
+		case <-r.clock.After(reconnectDelay):
 		}
 	}
 }
 
 // stream relays until the stream breaks, goes silent, or another leads.
-func (r *Relay) stream(ctx context.Context, leader string) {
+func (r *Relay) runStream(ctx context.Context, leader string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	conn, err := r.uplink.Leader()
@@ -170,9 +170,9 @@
 	answered := make(chan struct{}, 1)
 	go func() {
 		defer cancel()
-		r.deliver(stream, answered)
+		r.receiveAnswers(stream, answered)
 	}()
-	ticker := r.clock.NewTicker(leaderPoll)
+	ticker := r.clock.NewTicker(leaderCheckInterval)
 	defer ticker.Stop()
 	var unanswered time.Time // when the first report without an answer was sent
 	for {
@@ -185,27 +185,27 @@
 			if r.uplink.LeaderAddress() != leader {
 				return
 			}
-			if !unanswered.IsZero() && r.clock.Since(unanswered) > silentLimit {
-				silentStreams.Inc()
+			if !unanswered.IsZero() && r.clock.Since(unanswered) > unansweredTimeout {
+				unansweredStreams.Inc()
 				return
 			}
 		case first := <-r.reports:
 			if unanswered.IsZero() {
 				unanswered = r.clock.Now()
 			}
-			if stream.Send(&wire.RelayWorkersRequest{EntryId: r.entryID, Reports: r.gather(first)}) != nil {
+			if stream.Send(&wire.RelayWorkersRequest{EntryId: r.entryID, Reports: r.batch(first)}) != nil {
 				return
 			}
 		}
 	}
 }
 
-// maxGathered bounds the reports of one message.
-const maxGathered = 512
+// maxBatch bounds the reports of one message.
+const maxBatch = 512
 
-func (r *Relay) gather(first *wire.AttendRequest) []*wire.AttendRequest {
+func (r *Relay) batch(first *wire.AttendRequest) []*wire.AttendRequest {
 	reports := []*wire.AttendRequest{first}
-	for len(reports) < maxGathered {
+	for len(reports) < maxBatch {
 		select {
 		case report := <-r.reports:
 			reports = append(reports, report)
@@ -216,7 +216,7 @@
 	return reports
 }
 
-func (r *Relay) deliver(stream grpc.BidiStreamingClient[wire.RelayWorkersRequest, wire.RelayWorkersResponse], answered chan struct{}) {
+func (r *Relay) receiveAnswers(stream grpc.BidiStreamingClient[wire.RelayWorkersRequest, wire.RelayWorkersResponse], answered chan struct{}) {
 	for {
 		response, err := stream.Recv()
 		if err != nil {
@@ -227,15 +227,15 @@
 		default:
 		}
 		for _, answer := range response.Answers {
-			r.hand(answer)
+			r.forwardAnswer(answer)
 		}
 	}
 }
 
-func (r *Relay) hand(answer *wire.WorkerAnswer) {
+func (r *Relay) forwardAnswer(answer *wire.WorkerAnswer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a := r.workers[answer.WorkerId]
+	a := r.streams[answer.WorkerId]
 	if a == nil || a.incarnation != answer.Incarnation {
 		return
 	}
--- a/internal/front/retry/budget.go
+++ b/internal/front/retry/budget.go
@@ -11,7 +11,7 @@
 
 // reserve is how many retries a client account's service may make before any
 // first attempt has earned them.
-const reserve = 10
+const maxTokens = 10
 
 // Budget lets retries be a part of first attempts. The zero value allows the
 // reserve only.
@@ -28,7 +28,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	key := account + "\x00" + service
-	b.set(key, min(b.get(key)+b.Ratio, reserve))
+	b.set(key, min(b.get(key)+b.Ratio, maxTokens))
 }
 
 // Take asks for one retry.
@@ -47,7 +47,7 @@
 	if t, ok := b.tokens[key]; ok {
 		return t
 	}
-	return reserve
+	return maxTokens
 }
 
 func (b *Budget) set(key string, tokens float64) {
--- a/internal/front/route/attempt.go
+++ b/internal/front/route/attempt.go
@@ -28,10 +28,10 @@
 	HeaderLeaving = "Sycamoredeck-Leaving"
 )
 
-// lingerLimit is how long a late answer is waited for before the connection is
+// lateResponseTimeout is how long a late answer is waited for before the connection is
 // closed and the slot given back; a backend server that has hung for so long
 // is ejected by then.
-const lingerLimit = 30 * time.Second
+const lateResponseTimeout = 30 * time.Second
 
 // What an attempt without a whole answer means.
 var (
@@ -78,29 +78,29 @@
 		return Response{}, nil, err
 	}
 	if _, err := c.reader.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
-		return Response{}, func() bool { return b.linger(c, r) }, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return Response{}, func() bool { return b.awaitLateResponse(c, r) }, fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
-	answer, reusable, err := c.read(r)
-	b.keep(c, reusable, now)
+	answer, reusable, err := c.readResponse(r)
+	b.recycle(c, reusable, now)
 	return answer, nil, err
 }
 
 // linger waits for a late answer, which nobody wants any more.
-func (b *Backend) linger(c *connection, r Request) bool {
-	if c.SetDeadline(time.Now().Add(lingerLimit)) != nil {
-		b.keep(c, false, time.Now())
+func (b *Backend) awaitLateResponse(c *connection, r Request) bool {
+	if c.SetDeadline(time.Now().Add(lateResponseTimeout)) != nil {
+		b.recycle(c, false, time.Now())
 		return false
 	}
-	_, reusable, err := c.read(r)
-	b.keep(c, reusable, time.Now())
+	_, reusable, err := c.readResponse(r)
+	b.recycle(c, reusable, time.Now())
 	return err == nil
 }
 
 // keep takes a connection back. One with an answer still due, or one that made
 // no sense, would hand that answer to the next request, and is closed.
-func (b *Backend) keep(c *connection, reusable bool, now time.Time) {
+func (b *Backend) recycle(c *connection, reusable bool, now time.Time) {
 	if reusable {
-		b.putIdle(c, now)
+		b.pushIdle(c, now)
 		return
 	}
 	c.Close()
@@ -133,23 +133,23 @@
 	request.Header.Set(HeaderTimeout, strconv.FormatInt(max(time.Until(r.Deadline).Milliseconds(), 1), 10))
 	spans.Inject(ctx, request.Header.Set)
 	request.SetBodyRaw(r.Payload)
-	before := c.counted()
+	before := c.bytesWritten()
 	err := request.Write(c.writer)
 	if err == nil {
 		err = c.writer.Flush()
 	}
-	return c.counted() > before, err
+	return c.bytesWritten() > before, err
 }
 
 // counted is the number of bytes that were handed to the kernel.
-func (c *connection) counted() int64 {
+func (c *connection) bytesWritten() int64 {
 	if counter, ok := c.Conn.(*countingConn); ok {
 		return counter.written
 	}
 	return 0
 }
 
-func (c *connection) read(r Request) (Response, bool, error) {
+func (c *connection) readResponse(r Request) (Response, bool, error) {
 	response := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(response)
 	if err := response.ReadLimitBody(c.reader, r.MaxResponseBytes); err != nil {
@@ -158,7 +158,7 @@
 	if got := string(response.Header.Peek(HeaderRequestID)); got != r.ID {
 		return Response{}, false, fmt.Errorf("%w: the answer is to request %q", ErrUnknown, got)
 	}
-	if response.Header.ContentLength() == identityLength {
+	if response.Header.ContentLength() == identityContentLength {
 		// Its end is the connection's, so a cut answer would look whole.
 		return Response{}, false, fmt.Errorf("%w: the answer has no length", ErrUnknown)
 	}
@@ -174,8 +174,8 @@
 	return answer, reusable, nil
 }
 
-// identityLength is what fasthttp gives for a body without length.
-const identityLength = -2
+// identityContentLength is what fasthttp gives for a body without length.
+const identityContentLength = -2
 
 // countingConn counts what was written, since "not run" may be said only of a
 // request of which nothing was.
--- a/internal/front/route/backend.go
+++ b/internal/front/route/backend.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// failuresToEject is how many attempts in a row must fail before a
+	// ejectionThreshold is how many attempts in a row must fail before a
 	// backend server is passed over.
-	failuresToEject = 3
-	firstEjection   = time.Second
-	maxEjection     = 30 * time.Second
-	// idleLimit is how long an idle connection is kept; longer, and something
+	ejectionThreshold = 3
+	baseEjectionTime  = time.Second
+	maxEjectionTime   = 30 * time.Second
+	// maxIdleTime is how long an idle connection is kept; longer, and something
 	// between the ends may have forgotten it.
-	idleLimit = 5 * time.Second
-	// provedLimit is how lately a connection must have answered to carry a
+	maxIdleTime = 5 * time.Second
+	// maxIdleTimeNonIdempotent is how lately a connection must have answered to carry a
 	// non-idempotent request: on a silent one it would end as unknown.
-	provedLimit = time.Second
-	dialTimeout = time.Second
+	maxIdleTimeNonIdempotent = time.Second
+	dialTimeout              = time.Second
 )
 
 var (
@@ -50,17 +50,17 @@
 	// the Service it belongs to, its connections by itself.
 	Backend struct {
 		announcement   *wire.Announcement
-		limit          int
+		slotLimit      int
 		maxConnections int
 		inFlight       int
 		latency        time.Duration
-		lastTaken      time.Time
+		lastPicked     time.Time
 		failures       int
 		ejections      int
 		ejectedUntil   time.Time
 		// gone says that it is no longer among its service's; its slots don't
 		// come back.
-		gone bool
+		removed bool
 
 		mu     sync.Mutex
 		idle   []*connection
@@ -76,7 +76,7 @@
 )
 
 func newBackend(a *wire.Announcement) *Backend {
-	return &Backend{announcement: a, latency: firstLatency}
+	return &Backend{announcement: a, latency: initialLatency}
 }
 
 func backendKey(a *wire.Announcement) string {
@@ -91,28 +91,28 @@
 // Incarnation is the backend server's incarnation.
 func (b *Backend) Incarnation() uint64 { return b.announcement.Incarnation }
 
-func (b *Backend) usable(now time.Time, tried []string) bool {
-	return b.inFlight < b.limit && !now.Before(b.ejectedUntil) && !slices.Contains(tried, b.announcement.BackendServerId)
+func (b *Backend) available(now time.Time, tried []string) bool {
+	return b.inFlight < b.slotLimit && !now.Before(b.ejectedUntil) && !slices.Contains(tried, b.announcement.BackendServerId)
 }
 
-func (b *Backend) note(now time.Time, e AttemptOutcome) {
+func (b *Backend) recordOutcome(now time.Time, e AttemptOutcome) {
 	if e.Latency > 0 {
-		b.latency = average(b.latency, e.Latency, latencyWeight)
+		b.latency = ewma(b.latency, e.Latency, latencySmoothing)
 		b.failures, b.ejections = 0, 0
 		return
 	}
 	if e.LateLatency > 0 {
-		b.latency = average(b.latency, e.LateLatency, latencyWeight)
+		b.latency = ewma(b.latency, e.LateLatency, latencySmoothing)
 	}
 	if !e.Failed {
 		return
 	}
 	b.failures++
-	if b.failures < failuresToEject {
+	if b.failures < ejectionThreshold {
 		return
 	}
 	b.failures = 0
-	b.ejectedUntil = now.Add(min(firstEjection<<min(b.ejections, 10), maxEjection))
+	b.ejectedUntil = now.Add(min(baseEjectionTime<<min(b.ejections, 10), maxEjectionTime))
 	b.ejections++
 	ejectedTotal.Inc()
 }
@@ -120,11 +120,11 @@
 // connect returns an idle connection, or a new one. One for a non-idempotent
 // request must have answered lately or be new.
 func (b *Backend) connect(now, deadline time.Time, proved bool) (*connection, error) {
-	limit := idleLimit
+	limit := maxIdleTime
 	if proved {
-		limit = provedLimit
+		limit = maxIdleTimeNonIdempotent
 	}
-	if c := b.takeIdle(now, limit); c != nil {
+	if c := b.popIdle(now, limit); c != nil {
 		return c, nil
 	}
 	dialsTotal.Inc()
@@ -136,10 +136,10 @@
 	return &connection{Conn: conn, reader: bufio.NewReader(conn), writer: bufio.NewWriter(conn)}, nil
 }
 
-// takeIdle takes the connection used last and closes those idle for too long.
+// popIdle takes the connection used last and closes those idle for too long.
 // It closes all that can't be used even now, so that idle and busy connections
 // together never exceed the slots.
-func (b *Backend) takeIdle(now time.Time, limit time.Duration) *connection {
+func (b *Backend) popIdle(now time.Time, limit time.Duration) *connection {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	last := len(b.idle) - 1
@@ -156,7 +156,7 @@
 	return nil
 }
 
-func (b *Backend) putIdle(c *connection, now time.Time) {
+func (b *Backend) pushIdle(c *connection, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed {
--- a/internal/front/route/route_test.go
+++ b/internal/front/route/route_test.go
@@ -20,7 +20,7 @@
 
 // scripted serves one connection after the other with raw answers; %s stands
 // for the request's id.
-func scripted(t *testing.T, answers ...string) *Backend {
+func newScriptedBackend(t *testing.T, answers ...string) *Backend {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -31,13 +31,13 @@
 			if err != nil {
 				return
 			}
-			go answerAll(conn, a)
+			go serveScripted(conn, a)
 		}
 	}()
 	return newBackend(&wire.Announcement{BackendServerId: "s", Address: listener.Addr().String(), Slots: 8, Connections: 8})
 }
 
-func answerAll(conn net.Conn, answer string) {
+func serveScripted(conn net.Conn, answer string) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -97,7 +97,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := scripted(t, c.answer)
+			b := newScriptedBackend(t, c.answer)
 			answer, late, err := b.Do(context.Background(), time.Now(), request("r1"))
 			if c.want == nil {
 				assert.NilError(t, err)
@@ -121,16 +121,16 @@
 // something in between had forgotten. It may only use one proved lately.
 func TestNonIdempotentNeedsAProvedConnection(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\n" + HeaderRequestID + ": %s\nContent-Length: 2\n\nok"
-	b := scripted(t, ok, ok)
+	b := newScriptedBackend(t, ok, ok)
 	_, _, err := b.Do(context.Background(), time.Now(), request("r1"))
 	assert.NilError(t, err)
 	first := b.idle[0]
-	first.lastUsed = time.Now().Add(-2 * provedLimit)
+	first.lastUsed = time.Now().Add(-2 * maxIdleTimeNonIdempotent)
 	again := request("r2")
 	_, _, err = b.Do(context.Background(), time.Now(), again)
 	assert.NilError(t, err)
 	assert.Assert(t, b.idle[0] == first, "an idempotent request may use it")
-	first.lastUsed = time.Now().Add(-2 * provedLimit)
+	first.lastUsed = time.Now().Add(-2 * maxIdleTimeNonIdempotent)
 	again.Idempotent = false
 	again.Deadline = time.Now().Add(time.Second)
 	_, _, err = b.Do(context.Background(), time.Now(), again)
@@ -138,7 +138,7 @@
 	assert.Assert(t, len(b.idle) == 1 && b.idle[0] != first)
 }
 
-func testService(servers int, queue int) (*Service, *clockwork.FakeClock) {
+func newTestService(servers int, queue int) (*Service, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	s := NewService(Options{
 		Clock: clock, QueueLength: queue, EntryCount: func() int { return 1 },
@@ -152,7 +152,7 @@
 	return s, clock
 }
 
-func ask(clock clockwork.Clock, timeout time.Duration) SlotRequest {
+func slotRequest(clock clockwork.Clock, timeout time.Duration) SlotRequest {
 	return SlotRequest{Account: "a", Weight: 1, Deadline: clock.Now().Add(timeout)}
 }
 
@@ -167,26 +167,26 @@
 func TestRefusals(t *testing.T) {
 	ctx := context.Background()
 	t.Run("no backend server", func(t *testing.T) {
-		s, clock := testService(0, 10)
-		_, err := s.Acquire(ctx, ask(clock, time.Second))
+		s, clock := newTestService(0, 10)
+		_, err := s.Acquire(ctx, slotRequest(clock, time.Second))
 		assertRefused(t, err, ErrNoServer)
 	})
 	t.Run("queue full", func(t *testing.T) {
-		s, clock := testService(1, 0)
+		s, clock := newTestService(1, 0)
 		for range 2 {
-			_, err := s.Acquire(ctx, ask(clock, time.Second))
+			_, err := s.Acquire(ctx, slotRequest(clock, time.Second))
 			assert.NilError(t, err)
 		}
-		_, err := s.Acquire(ctx, ask(clock, time.Second))
+		_, err := s.Acquire(ctx, slotRequest(clock, time.Second))
 		assertRefused(t, err, ErrQueueFull)
 	})
 	t.Run("too late", func(t *testing.T) {
-		s, clock := testService(1, 10)
+		s, clock := newTestService(1, 10)
 		for range 2 {
-			_, err := s.Acquire(ctx, ask(clock, time.Second))
+			_, err := s.Acquire(ctx, slotRequest(clock, time.Second))
 			assert.NilError(t, err)
 		}
-		_, err := s.Acquire(ctx, ask(clock, time.Millisecond))
+		_, err := s.Acquire(ctx, slotRequest(clock, time.Millisecond))
 		assertRefused(t, err, ErrDeadlineExceeded)
 	})
 }
@@ -195,17 +195,17 @@
 // Sequence: it waits for a slot; then all backend servers go. It must be
 // answered at once. The context's end here is far away.
 func TestHopelessCallIsAnsweredAtOnce(t *testing.T) {
-	s, clock := testService(1, 10)
+	s, clock := newTestService(1, 10)
 	for range 2 {
-		_, err := s.Acquire(context.Background(), ask(clock, time.Minute))
+		_, err := s.Acquire(context.Background(), slotRequest(clock, time.Minute))
 		assert.NilError(t, err)
 	}
 	refused := make(chan error, 1)
 	go func() {
-		_, err := s.Acquire(context.Background(), ask(clock, time.Minute))
+		_, err := s.Acquire(context.Background(), slotRequest(clock, time.Minute))
 		refused <- err
 	}()
-	for s.waiting() == 0 {
+	for s.queueLen() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	s.Update(nil)
@@ -213,7 +213,7 @@
 	assertRefused(t, <-refused, ErrDeadlineExceeded)
 }
 
-func (s *Service) waiting() int {
+func (s *Service) queueLen() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.queue.Len()
@@ -222,41 +222,41 @@
 // Symptom: slots leak or are given twice, over many calls that come, fail, and
 // end on backend servers that are gone.
 func TestSlotsAreNeitherLostNorDoubled(t *testing.T) {
-	s, clock := testService(3, 10)
+	s, clock := newTestService(3, 10)
 	var held []*Backend
 	for range 6 {
-		b, err := s.Acquire(context.Background(), ask(clock, time.Second))
+		b, err := s.Acquire(context.Background(), slotRequest(clock, time.Second))
 		assert.NilError(t, err)
 		held = append(held, b)
 	}
 	s.mu.Lock()
-	assert.Equal(t, s.free, 0)
+	assert.Equal(t, s.freeSlots, 0)
 	s.mu.Unlock()
 	s.Update([]*wire.Announcement{{BackendServerId: "0", Slots: 2, Connections: 64}})
 	for i, b := range held {
 		s.Release(b, AttemptOutcome{Failed: i%2 == 0})
 	}
-	assert.Equal(t, s.free, 2)
+	assert.Equal(t, s.freeSlots, 2)
 	assert.Equal(t, s.backends[0].inFlight, 0)
 }
 
 // A backend server that fails again and again is passed over, for longer each
 // time, but never so that none is left.
 func TestEjection(t *testing.T) {
-	s, clock := testService(2, 10)
+	s, clock := newTestService(2, 10)
 	bad := s.backends[0]
-	for range failuresToEject {
-		s.take(clock.Now(), bad)
+	for range ejectionThreshold {
+		s.takeSlot(clock.Now(), bad)
 		s.Release(bad, AttemptOutcome{Failed: true})
 	}
 	for range 20 {
-		b, err := s.Acquire(context.Background(), ask(clock, time.Second))
+		b, err := s.Acquire(context.Background(), slotRequest(clock, time.Second))
 		assert.NilError(t, err)
 		assert.Assert(t, b != bad)
 		s.Release(b, AttemptOutcome{Latency: time.Millisecond})
 	}
 	s.Update([]*wire.Announcement{bad.announcement})
-	b, err := s.Acquire(context.Background(), ask(clock, time.Second))
+	b, err := s.Acquire(context.Background(), slotRequest(clock, time.Second))
 	assert.NilError(t, err)
 	assert.Assert(t, b == bad, "the last one left is used all the same")
 }
@@ -264,14 +264,14 @@
 // Symptom: a backend server that was slow for a while never gets work again.
 // Cause: its old latency keeps it from being chosen, so none is measured.
 func TestSlowServerIsTriedAgain(t *testing.T) {
-	s, clock := testService(2, 10)
+	s, clock := newTestService(2, 10)
 	slow := s.backends[0]
-	s.take(clock.Now(), slow)
+	s.takeSlot(clock.Now(), slow)
 	s.Release(slow, AttemptOutcome{Latency: time.Minute})
 	chosen := func() int {
 		n := 0
 		for range 50 {
-			b, err := s.Acquire(context.Background(), ask(clock, time.Hour))
+			b, err := s.Acquire(context.Background(), slotRequest(clock, time.Hour))
 			assert.NilError(t, err)
 			if b == slow {
 				n++
@@ -281,6 +281,6 @@
 		return n
 	}
 	assert.Assert(t, chosen() == 0, "it is chosen though it is slow")
-	clock.Advance(2 * probeAfter)
+	clock.Advance(2 * probeInterval)
 	assert.Assert(t, chosen() >= 1, "it is never tried again")
 }
--- a/internal/front/route/service.go
+++ b/internal/front/route/service.go
@@ -19,23 +19,23 @@
 )
 
 const (
-	// latencyWeight is the part of a new latency in the moving average.
-	latencyWeight = 0.1
-	// serviceWeight is the same for the service, over all backend servers.
-	serviceWeight = 0.02
-	// firstLatency is assumed of a backend server that has answered nothing.
-	firstLatency = 5 * time.Millisecond
+	// latencySmoothing is the part of a new latency in the moving average.
+	latencySmoothing = 0.1
+	// serviceSmoothing is the same for the service, over all backend servers.
+	serviceSmoothing = 0.02
+	// initialLatency is assumed of a backend server that has answered nothing.
+	initialLatency = 5 * time.Millisecond
 	// choices is how many backend servers are compared. Of two, one in a
 	// hundred calls meets two slow ones where a tenth is slow, which is the
 	// 99th percentile. Slots aren't shared between entries, so that comparing
 	// more makes no herd.
-	choices = 8
-	// probeAfter is how long a slow backend server is left alone before it is
+	sampleSize = 8
+	// probeInterval is how long a slow backend server is left alone before it is
 	// tried again.
-	probeAfter = 2 * time.Second
-	// otherDomain makes a backend server in another failure domain look this
+	probeInterval = 2 * time.Second
+	// crossDomainFactor makes a backend server in another failure domain look this
 	// much slower, for the way there and back.
-	otherDomain = 1.3
+	crossDomainFactor = 1.3
 	// minRetryAfter and maxRetryAfter bound when callers are told to return.
 	minRetryAfter = 20 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
@@ -84,12 +84,12 @@
 	Service struct {
 		options Options
 
-		mu       sync.Mutex
-		backends []*Backend
-		queue    admit.Queue[*Backend]
-		free     int // slots not in use, over all backends
-		slots    int
-		times    serviceTime
+		mu         sync.Mutex
+		backends   []*Backend
+		queue      admit.Queue[*Backend]
+		freeSlots  int // slots not in use, over all backends
+		totalSlots int
+		latency    latencyStats
 	}
 )
 
@@ -103,7 +103,7 @@
 
 // NewService returns a service without backend servers.
 func NewService(options Options) *Service {
-	return &Service{options: options, times: serviceTime{mean: firstLatency}}
+	return &Service{options: options, latency: latencyStats{mean: initialLatency}}
 }
 
 // Update replaces the backend servers. Those that go on keep their
@@ -124,34 +124,34 @@
 		s.backends = append(s.backends, b)
 	}
 	for _, b := range known {
-		b.gone = true
+		b.removed = true
 	}
 	s.resize()
-	granted := s.grantWaiting()
+	granted := s.grantQueued()
 	s.mu.Unlock()
 	for _, b := range known {
 		b.close()
 	}
-	granted.call()
+	granted.deliver()
 }
 
 // Resize works out this entry's slots anew, after the entries have changed.
 func (s *Service) Resize() {
 	s.mu.Lock()
 	s.resize()
-	granted := s.grantWaiting()
+	granted := s.grantQueued()
 	s.mu.Unlock()
-	granted.call()
+	granted.deliver()
 }
 
 func (s *Service) resize() {
-	s.slots, s.free = 0, 0
+	s.totalSlots, s.freeSlots = 0, 0
 	for _, b := range s.backends {
-		b.limit = s.options.SlotShare(b.announcement.BackendServerId, b.announcement.Slots)
+		b.slotLimit = s.options.SlotShare(b.announcement.BackendServerId, b.announcement.Slots)
 		b.maxConnections = max(1, int(b.announcement.Connections)/(s.options.EntryCount()+1))
-		b.limit = min(b.limit, b.maxConnections)
-		s.slots += b.limit
-		s.free += max(0, b.limit-b.inFlight)
+		b.slotLimit = min(b.slotLimit, b.maxConnections)
+		s.totalSlots += b.slotLimit
+		s.freeSlots += max(0, b.slotLimit-b.inFlight)
 	}
 }
 
@@ -161,12 +161,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.slots == 0:
+	case s.totalSlots == 0:
 		return &Refusal{ErrNoServer, noServerRetryAfter}
-	case s.free > 0:
+	case s.freeSlots > 0:
 		return nil
 	default:
-		return s.hopeless(now, ask)
+		return s.checkWait(now, ask)
 	}
 }
 
@@ -174,25 +174,25 @@
 func (s *Service) Acquire(ctx context.Context, ask SlotRequest) (*Backend, error) {
 	now := s.options.Clock.Now()
 	s.mu.Lock()
-	if len(s.backends) == 0 || s.slots == 0 {
+	if len(s.backends) == 0 || s.totalSlots == 0 {
 		s.mu.Unlock()
 		return nil, &Refusal{ErrNoServer, noServerRetryAfter}
 	}
 	if s.queue.Len() == 0 {
 		if b := s.pick(now, ask.Tried); b != nil {
-			s.take(now, b)
+			s.takeSlot(now, b)
 			s.mu.Unlock()
 			return b, nil
 		}
 	}
-	if err := s.hopeless(now, ask); err != nil {
+	if err := s.checkWait(now, ask); err != nil {
 		s.mu.Unlock()
 		return nil, err
 	}
 	granted := make(chan *Backend, 1)
 	w := &admit.Waiter[*Backend]{
 		Account: ask.Account, Weight: ask.Weight, Deadline: ask.Deadline,
-		LatestStart: s.latest(now, ask.Deadline),
+		LatestStart: s.latestStart(now, ask.Deadline),
 		Grant:       func(b *Backend) { granted <- b },
 	}
 	s.queue.Push(w)
@@ -226,13 +226,13 @@
 }
 
 // hopeless refuses a call that would wait in vain.
-func (s *Service) hopeless(now time.Time, ask SlotRequest) error {
+func (s *Service) checkWait(now time.Time, ask SlotRequest) error {
 	wait := s.expectedWait(ask.Account, ask.Weight, s.queue.AccountLen(ask.Account)+1)
 	if s.queue.Len() >= s.options.QueueLength {
-		return &Refusal{ErrQueueFull, clampRetry(wait)}
+		return &Refusal{ErrQueueFull, clampAndJitter(wait)}
 	}
-	if now.Add(wait).After(s.latest(now, ask.Deadline)) {
-		return &Refusal{ErrDeadlineExceeded, clampRetry(wait)}
+	if now.Add(wait).After(s.latestStart(now, ask.Deadline)) {
+		return &Refusal{ErrDeadlineExceeded, clampAndJitter(wait)}
 	}
 	return nil
 }
@@ -241,7 +241,7 @@
 func (s *Service) TailLatency() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.times.likely()
+	return s.latency.tail()
 }
 
 // latest is the last moment at which a call may be given a slot. One that
@@ -249,24 +249,24 @@
 // that nobody takes. Under overload such calls, served first since theirs is
 // the earliest deadline, would take up all slots. Half of the time is left to
 // a call in any case, where the service is slow for its callers' timeouts.
-func (s *Service) latest(now, deadline time.Time) time.Time {
-	return deadline.Add(-min(s.times.likely(), deadline.Sub(now)/2))
+func (s *Service) latestStart(now, deadline time.Time) time.Time {
+	return deadline.Add(-min(s.latency.tail(), deadline.Sub(now)/2))
 }
 
 // expectedWait is how long the call at a position of its account's line waits,
 // by the present latency and the account's share of the slots.
 func (s *Service) expectedWait(account string, weight float64, position int) time.Duration {
-	rate := float64(max(s.slots, 1)) * s.queue.Share(account, max(weight, 1e-9))
-	return time.Duration(float64(s.times.mean) * float64(position) / rate)
+	rate := float64(max(s.totalSlots, 1)) * s.queue.Share(account, max(weight, 1e-9))
+	return time.Duration(float64(s.latency.mean) * float64(position) / rate)
 }
 
 func (s *Service) retryAfter(account string, weight float64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return clampRetry(s.expectedWait(account, weight, s.queue.AccountLen(account)+1))
+	return clampAndJitter(s.expectedWait(account, weight, s.queue.AccountLen(account)+1))
 }
 
-func clampRetry(d time.Duration) time.Duration {
+func clampAndJitter(d time.Duration) time.Duration {
 	// Spread by up to half, lest all that were refused return together.
 	d = max(minRetryAfter, min(d, maxRetryAfter))
 	return d + time.Duration(rand.Int64N(int64(d/2)+1))
@@ -279,7 +279,7 @@
 	s.mu.Lock()
 	taken := s.queue.RemoveIf(func(w *admit.Waiter[*Backend], ahead int) bool {
 		wait := s.expectedWait(w.Account, w.Weight, ahead)
-		return s.slots == 0 || now.Add(wait).After(w.LatestStart)
+		return s.totalSlots == 0 || now.Add(wait).After(w.LatestStart)
 	})
 	s.mu.Unlock()
 	for _, w := range taken {
@@ -290,17 +290,17 @@
 // pick chooses the best of a few random backend servers with a free slot, by
 // expected latency.
 func (s *Service) pick(now time.Time, tried []string) *Backend {
-	if s.free <= 0 {
+	if s.freeSlots <= 0 {
 		return nil
 	}
 	var best *Backend
 	n := len(s.backends)
-	for i := range min(choices, n) {
+	for i := range min(sampleSize, n) {
 		b := s.backends[i]
-		if n > choices {
+		if n > sampleSize {
 			b = s.backends[rand.IntN(n)]
 		}
-		if b.usable(now, tried) && (best == nil || s.cost(now, b) < s.cost(now, best)) {
+		if b.available(now, tried) && (best == nil || s.cost(now, b) < s.cost(now, best)) {
 			best = b
 		}
 	}
@@ -318,10 +318,10 @@
 	var fallback *Backend
 	for i := range n {
 		b := s.backends[(begin+i)%n]
-		if b.usable(now, tried) {
+		if b.available(now, tried) {
 			return b
 		}
-		if fallback == nil && b.usable(now, nil) {
+		if fallback == nil && b.available(now, nil) {
 			fallback = b
 		}
 	}
@@ -338,7 +338,7 @@
 	var best *Backend
 	for i := range n {
 		b := s.backends[(begin+i)%n]
-		if b.inFlight < b.limit && (best == nil || b.ejectedUntil.Before(best.ejectedUntil)) {
+		if b.inFlight < b.slotLimit && (best == nil || b.ejectedUntil.Before(best.ejectedUntil)) {
 			best = b
 		}
 	}
@@ -349,27 +349,27 @@
 // hasn't been tried for a while goes before all others, once: it would else never
 // be chosen again, and never seen to have recovered.
 func (s *Service) cost(now time.Time, b *Backend) float64 {
-	if b.latency > s.times.mean && now.Sub(b.lastTaken) > probeAfter {
+	if b.latency > s.latency.mean && now.Sub(b.lastPicked) > probeInterval {
 		return 0
 	}
-	cost := float64(b.latency) * float64(b.inFlight+1) / float64(max(b.limit, 1))
+	cost := float64(b.latency) * float64(b.inFlight+1) / float64(max(b.slotLimit, 1))
 	if b.announcement.FailureDomain != s.options.FailureDomain {
-		cost *= otherDomain
+		cost *= crossDomainFactor
 	}
 	return cost
 }
 
-func (s *Service) take(now time.Time, b *Backend) {
-	b.lastTaken = now
+func (s *Service) takeSlot(now time.Time, b *Backend) {
+	b.lastPicked = now
 	b.inFlight++
-	s.free--
+	s.freeSlots--
 }
 
 // Note says how an attempt went whose slot isn't given back yet.
 func (s *Service) RecordOutcome(b *Backend, e AttemptOutcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b.note(s.options.Clock.Now(), e)
+	b.recordOutcome(s.options.Clock.Now(), e)
 }
 
 // Release gives the slot back and notes how the attempt went.
@@ -377,16 +377,16 @@
 	now := s.options.Clock.Now()
 	s.mu.Lock()
 	b.inFlight--
-	if b.inFlight < b.limit && !b.gone {
-		s.free++
+	if b.inFlight < b.slotLimit && !b.removed {
+		s.freeSlots++
 	}
-	b.note(now, e)
+	b.recordOutcome(now, e)
 	if d := max(e.Latency, e.LateLatency); d > 0 {
-		s.times = s.times.with(d)
+		s.latency = s.latency.withSample(d)
 	}
-	granted := s.grantWaiting()
+	granted := s.grantQueued()
 	s.mu.Unlock()
-	granted.call()
+	granted.deliver()
 }
 
 type (
@@ -399,15 +399,15 @@
 	grants []grant
 )
 
-func (g grants) call() {
+func (g grants) deliver() {
 	for _, one := range g {
 		one.waiter.Grant(one.backend)
 	}
 }
 
-// grantWaiting gives free slots to those whose turn it is, and tells those
+// grantQueued gives free slots to those whose turn it is, and tells those
 // for whom it is too late.
-func (s *Service) grantWaiting() grants {
+func (s *Service) grantQueued() grants {
 	var granted grants
 	now := s.options.Clock.Now()
 	for s.queue.Len() > 0 {
@@ -419,32 +419,32 @@
 		if now.After(w.LatestStart) {
 			b = nil
 		} else {
-			s.take(now, b)
+			s.takeSlot(now, b)
 		}
 		granted = append(granted, grant{w, b})
 	}
 	return granted
 }
 
-func average(old, sample time.Duration, weight float64) time.Duration {
+func ewma(old, sample time.Duration, weight float64) time.Duration {
 	return time.Duration(float64(old)*(1-weight) + float64(sample)*weight)
 }
 
-// serviceTime is how long a service's requests hold a slot, late ones
+// latencyStats is how long a service's requests hold a slot, late ones
 // included: a mean of those in time alone would shrink as more are late.
-type serviceTime struct {
+type latencyStats struct {
 	mean, deviation time.Duration
 }
 
 // with returns the time after one more sample.
-func (t serviceTime) with(sample time.Duration) serviceTime {
-	return serviceTime{
-		mean:      average(t.mean, sample, serviceWeight),
-		deviation: average(t.deviation, (sample - t.mean).Abs(), serviceWeight),
+func (t latencyStats) withSample(sample time.Duration) latencyStats {
+	return latencyStats{
+		mean:      ewma(t.mean, sample, serviceSmoothing),
+		deviation: ewma(t.deviation, (sample - t.mean).Abs(), serviceSmoothing),
 	}
 }
 
 // likely is the time within which nearly all requests end.
-func (t serviceTime) likely() time.Duration {
+func (t latencyStats) tail() time.Duration {
 	return t.mean + 3*t.deviation
 }
--- a/internal/front/uplink/ask.go
+++ b/internal/front/uplink/ask.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// askTimeout bounds one try, so that a connection that went silent costs
+	// attemptTimeout bounds one try, so that a connection that went silent costs
 	// a try and not the whole of the caller's time. A commit takes some syncs of a
 	// disk, of 4 to 6 ms each where it is deployed.
-	askTimeout = 1 * time.Second
-	// retryPause is between tries to reach a leader.
-	retryPause = 25 * time.Millisecond
-	// leaderWait is how long a call waits for a leader while replicas that can elect
+	attemptTimeout = 1 * time.Second
+	// retryInterval is between tries to reach a leader.
+	retryInterval = 25 * time.Millisecond
+	// electionWait is how long a call waits for a leader while replicas that can elect
 	// one answer. 1.0 to 1.8 s passed from the loss of one to the next in seven
 	// elections that were looked into, and 3.1 s in one; callers wait 3 s in all, so
 	// that a refusal after this leaves them another try.
-	leaderWait = 1200 * time.Millisecond
+	electionWait = 1200 * time.Millisecond
 )
 
 // Call is a method of a control replica.
@@ -40,37 +40,37 @@
 	began := u.options.Clock.Now()
 	uncertain := false
 	for {
-		response, err := askOnce(ctx, u, request, call)
-		if err == nil || !again(err) {
+		response, err := callOnce(ctx, u, request, call)
+		if err == nil || !retriable(err) {
 			return response, err
 		}
-		uncertain = uncertain || !surelyNotDone(err)
-		if !u.worthWaiting(began, uncertain) {
-			return response, final(err, uncertain)
+		uncertain = uncertain || !notExecuted(err)
+		if !u.shouldRetry(began, uncertain) {
+			return response, finalError(err, uncertain)
 		}
 		select {
 		case <-ctx.Done():
-			return response, final(err, uncertain)
-		case <-u.options.Clock.After(retryPause):
+			return response, finalError(err, uncertain)
+		case <-u.options.Clock.After(retryInterval):
 		}
 	}
 }
 
-// worthWaiting tells whether a call that began at a time may yet be answered by a
+// shouldRetry tells whether a call that began at a time may yet be answered by a
 // leader. Where too few replicas answer to elect one, none can, and the caller is
 // told at once. A call that may have been carried out goes on for as long as its
 // caller waits: the next leader can tell for sure.
-func (u *Uplink) worthWaiting(began time.Time, uncertain bool) bool {
+func (u *Uplink) shouldRetry(began time.Time, uncertain bool) bool {
 	if uncertain {
 		return true
 	}
-	return u.quorumAnswers() && u.options.Clock.Now().Sub(began) < leaderWait
+	return u.quorumResponsive() && u.options.Clock.Now().Sub(began) < electionWait
 }
 
-// askOnce makes one try. It is given up once another leader is known: the one that
+// callOnce makes one try. It is given up once another leader is known: the one that
 // was asked may be dark, and would be waited for in vain.
-func askOnce[Q, R any](ctx context.Context, u *Uplink, request Q, call Method[Q, R]) (R, error) {
-	address, changed := u.leaderNow()
+func callOnce[Q, R any](ctx context.Context, u *Uplink, request Q, call Method[Q, R]) (R, error) {
+	address, changed := u.watchLeader()
 	if address == "" {
 		var none R
 		return none, status.Error(codes.Unavailable, NotExecuted+"no control leader is known")
@@ -80,7 +80,7 @@
 		var none R
 		return none, err
 	}
-	limited, cancel := context.WithTimeout(ctx, askTimeout)
+	limited, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	go func() {
 		select {
@@ -92,7 +92,7 @@
 	return call(limited, conn, request)
 }
 
-func again(err error) bool {
+func retriable(err error) bool {
 	switch status.Code(err) {
 	case codes.Unavailable, codes.Aborted, codes.DeadlineExceeded, codes.Canceled:
 		return true
@@ -101,9 +101,9 @@
 	}
 }
 
-// surelyNotDone tells an answer that refused the call from a connection that
+// notExecuted tells an answer that refused the call from a connection that
 // broke under it. Only the system's own texts are trusted.
-func surelyNotDone(err error) bool {
+func notExecuted(err error) bool {
 	s := status.Convert(err)
 	return s.Code() == codes.Unavailable && strings.HasPrefix(s.Message(), NotExecuted)
 }
@@ -111,7 +111,7 @@
 // NotExecuted begins the messages of refusals after which nothing was done.
 const NotExecuted = "not done: "
 
-func final(err error, uncertain bool) error {
+func finalError(err error, uncertain bool) error {
 	text := status.Convert(err).Message()
 	if uncertain {
 		return status.Error(codes.Aborted, "outcome unknown, ask again with the same key: "+text)
--- a/internal/front/uplink/ask_test.go
+++ b/internal/front/uplink/ask_test.go
@@ -21,18 +21,18 @@
 
 // outage is an uplink that knows five voters, of which the first answering ones
 // were just heard, and the call that is made with it.
-type outage struct {
-	uplink *Uplink
-	clock  *clockwork.FakeClock
-	asked  []string
+type fixture struct {
+	uplink        *Uplink
+	clock         *clockwork.FakeClock
+	calledLeaders []string
 	// answers are what the call comes to, one for each try.
-	answers []func(context.Context) error
+	responses []func(context.Context) error
 }
 
 var voters = []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:5"}
 
-func newOutage(t *testing.T, answering int) *outage {
-	o := &outage{clock: clockwork.NewFakeClock()}
+func newFixture(t *testing.T, answering int) *fixture {
+	o := &fixture{clock: clockwork.NewFakeClock()}
 	pool := &link.Pool{}
 	t.Cleanup(pool.Close)
 	o.uplink = New(Options{
@@ -40,38 +40,38 @@
 		Self: &wire.EntryStatus{EntryId: "e"}, OnEntriesChanged: func([]string) {},
 	})
 	for i, address := range voters {
-		o.hear(address, "", 1)
+		o.receiveHello(address, "", 1)
 		if i >= answering {
-			o.uplink.noteFailed(address)
-			o.uplink.noteFailed(address)
+			o.uplink.recordFailure(address)
+			o.uplink.recordFailure(address)
 		}
 	}
 	return o
 }
 
 // hear has a replica tell who leads.
-func (o *outage) hear(from, leader string, term uint64) {
+func (f *fixture) receiveHello(from, leader string, term uint64) {
 	r := &wire.HelloResponse{LeaderAddress: leader, Term: term}
 	for _, address := range voters {
 		r.Members = append(r.Members, &wire.ControlMember{Address: address, Voter: true})
 	}
-	o.uplink.note(from, r)
+	f.uplink.recordHello(from, r)
 }
 
-func (o *outage) ask(ctx context.Context) error {
-	_, err := CallLeader(ctx, o.uplink, 0, func(ctx context.Context, _ *grpc.ClientConn, _ int) (int, error) {
-		o.asked = append(o.asked, o.uplink.LeaderAddress())
-		answer := o.answers[0]
-		o.answers = o.answers[1:]
+func (f *fixture) call(ctx context.Context) error {
+	_, err := CallLeader(ctx, f.uplink, 0, func(ctx context.Context, _ *grpc.ClientConn, _ int) (int, error) {
+		f.calledLeaders = append(f.calledLeaders, f.uplink.LeaderAddress())
+		answer := f.responses[0]
+		f.responses = f.responses[1:]
 		return 0, answer(ctx)
 	})
 	return err
 }
 
-func done(context.Context) error { return nil }
+func succeed(context.Context) error { return nil }
 
 // silent is a leader without power: it never answers.
-func silent(ctx context.Context) error {
+func hang(ctx context.Context) error {
 	<-ctx.Done()
 	return status.FromContextError(ctx.Err()).Err()
 }
@@ -82,29 +82,29 @@
 // taken for granted. The clock stands still here: a call that waited would wait
 // for ever.
 func TestRefusedAtOnceWithoutAQuorum(t *testing.T) {
-	o := newOutage(t, 2)
-	err := o.ask(t.Context())
+	o := newFixture(t, 2)
+	err := o.call(t.Context())
 	assert.Equal(t, status.Code(err), codes.Unavailable, "%v", err)
-	assert.Equal(t, len(o.asked), 0)
+	assert.Equal(t, len(o.calledLeaders), 0)
 }
 
 // While replicas that can elect a leader answer, a call waits for it.
 func TestWaitsForAnElection(t *testing.T) {
-	o := newOutage(t, 3)
-	o.answers = append(o.answers, done)
+	o := newFixture(t, 3)
+	o.responses = append(o.responses, succeed)
 	result := make(chan error, 1)
-	go func() { result <- o.ask(t.Context()) }()
+	go func() { result <- o.call(t.Context()) }()
 	assert.NilError(t, o.clock.BlockUntilContext(t.Context(), 1))
-	o.hear(voters[0], voters[0], 2)
-	o.clock.Advance(retryPause)
+	o.receiveHello(voters[0], voters[0], 2)
+	o.clock.Advance(retryInterval)
 	assert.NilError(t, <-result)
 }
 
 // An election that takes too long is no reason to hold a caller back.
 func TestRefusedWhenAnElectionTakesLong(t *testing.T) {
-	o := newOutage(t, 3)
+	o := newFixture(t, 3)
 	result := make(chan error, 1)
-	go func() { result <- o.ask(t.Context()) }()
+	go func() { result <- o.call(t.Context()) }()
 	for {
 		select {
 		case err := <-result:
@@ -115,9 +115,9 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		if o.clock.BlockUntilContext(ctx, 1) == nil {
 			for _, address := range voters[:3] {
-				o.hear(address, "", 1)
+				o.receiveHello(address, "", 1)
 			}
-			o.clock.Advance(retryPause)
+			o.clock.Advance(retryInterval)
 		}
 		cancel()
 	}
@@ -128,23 +128,23 @@
 // request under way; the entry waits on that connection until its own time is up.
 // Cause: that another leader was known ended no call to the one before.
 func TestCallToALostLeaderMovesOn(t *testing.T) {
-	o := newOutage(t, 5)
-	o.hear(voters[0], voters[0], 2)
-	o.answers = append(o.answers, silent, done)
+	o := newFixture(t, 5)
+	o.receiveHello(voters[0], voters[0], 2)
+	o.responses = append(o.responses, hang, succeed)
 	result := make(chan error, 1)
 	entered := make(chan struct{})
-	lost := o.answers[0]
-	o.answers[0] = func(ctx context.Context) error {
+	lost := o.responses[0]
+	o.responses[0] = func(ctx context.Context) error {
 		close(entered)
 		return lost(ctx)
 	}
-	go func() { result <- o.ask(t.Context()) }()
+	go func() { result <- o.call(t.Context()) }()
 	<-entered
-	o.hear(voters[1], voters[1], 3)
+	o.receiveHello(voters[1], voters[1], 3)
 	assert.NilError(t, o.clock.BlockUntilContext(t.Context(), 1))
-	o.clock.Advance(retryPause)
+	o.clock.Advance(retryInterval)
 	assert.NilError(t, <-result)
-	assert.DeepEqual(t, o.asked, []string{voters[0], voters[1]})
+	assert.DeepEqual(t, o.calledLeaders, []string{voters[0], voters[1]})
 }
 
 // Symptom: a caller is told that the outcome of its job is unknown, though its time
@@ -153,19 +153,19 @@
 // replaced. Cause: that no quorum answered for a moment ended the call, which the
 // leader could have settled a second later.
 func TestUncertainCallOutlastsSilentConnections(t *testing.T) {
-	o := newOutage(t, 5)
-	o.hear(voters[0], voters[0], 2)
+	o := newFixture(t, 5)
+	o.receiveHello(voters[0], voters[0], 2)
 	silenced := func(context.Context) error {
 		for _, address := range voters {
-			o.uplink.noteFailed(address)
-			o.uplink.noteFailed(address)
+			o.uplink.recordFailure(address)
+			o.uplink.recordFailure(address)
 		}
 		return status.Error(codes.DeadlineExceeded, "silent")
 	}
-	o.answers = append(o.answers, silenced, done)
+	o.responses = append(o.responses, silenced, succeed)
 	result := make(chan error, 1)
-	go func() { result <- o.ask(t.Context()) }()
+	go func() { result <- o.call(t.Context()) }()
 	assert.NilError(t, o.clock.BlockUntilContext(t.Context(), 1))
-	o.clock.Advance(retryPause)
+	o.clock.Advance(retryInterval)
 	assert.NilError(t, <-result)
 }
--- a/internal/front/uplink/uplink.go
+++ b/internal/front/uplink/uplink.go
@@ -26,18 +26,18 @@
 )
 
 const (
-	// reviewInterval is how often what was heard is looked at for its age.
-	reviewInterval = 100 * time.Millisecond
-	// helloPause lies between hellos; replicas hold them while there is no
-	// news. failedPause follows one that failed.
-	helloPause   = 20 * time.Millisecond
-	failedPause  = 200 * time.Millisecond
-	helloTimeout = 1500 * time.Millisecond
-	// heardLimit is how long what a replica said counts.
-	heardLimit = 2 * time.Second
-	// maxFailed hellos in a row tell that a replica doesn't answer, sooner than its
+	// refreshInterval is how often what was heard is looked at for its age.
+	refreshInterval = 100 * time.Millisecond
+	// helloInterval lies between hellos; replicas hold them while there is no
+	// news. helloBackoff follows one that failed.
+	helloInterval = 20 * time.Millisecond
+	helloBackoff  = 200 * time.Millisecond
+	helloTimeout  = 1500 * time.Millisecond
+	// statusTTL is how long what a replica said counts.
+	statusTTL = 2 * time.Second
+	// maxFailedHellos hellos in a row tell that a replica doesn't answer, sooner than its
 	// silence: one alone may be a connection that was reset.
-	maxFailed = 2
+	maxFailedHellos = 2
 )
 
 var (
@@ -63,55 +63,55 @@
 		OnDrainedChanged func(domains []string)
 	}
 
-	heard struct {
-		response *wire.HelloResponse
-		at       time.Time
-		failed   int // hellos in a row since then
+	replicaStatus struct {
+		response     *wire.HelloResponse
+		receivedAt   time.Time
+		failedHellos int // hellos in a row since then
 	}
 
 	// Uplink may be used by many goroutines once Run is started.
 	Uplink struct {
 		options Options
-		current atomic.Pointer[wire.ConfigurationVersion]
-
-		mu        sync.Mutex
-		addresses []string // as the settings name them
-		replicas  map[string]heard
-		loops     map[string]context.CancelFunc
-		entries   []*wire.EntryStatus
-		ids       []string
-		drains    uint64 // revision of the drained failure domains
-		leader    string
-		term      uint64
+		config  atomic.Pointer[wire.ConfigurationVersion]
+
+		mu                  sync.Mutex
+		configuredAddresses []string // as the settings name them
+		replicas            map[string]replicaStatus
+		helloLoops          map[string]context.CancelFunc
+		entries             []*wire.EntryStatus
+		entryIDs            []string
+		drainRevision       uint64 // revision of the drained failure domains
+		leaderAddress       string
+		term                uint64
 		// leaderChanged is closed when another leader than this one is known.
 		leaderChanged chan struct{}
 		// fetching guards against several loops fetching one version.
-		fetching sync.Mutex
+		fetchMu sync.Mutex
 		// reviewing keeps OnEntriesChanged and Drained in the order of the views.
-		reviewing sync.Mutex
+		refreshMu sync.Mutex
 	}
 )
 
 // New returns an uplink that knows nothing yet.
 func New(options Options) *Uplink {
 	return &Uplink{
-		options: options, addresses: options.Addresses, replicas: map[string]heard{}, loops: map[string]context.CancelFunc{},
+		options: options, configuredAddresses: options.Addresses, replicas: map[string]replicaStatus{}, helloLoops: map[string]context.CancelFunc{},
 		leaderChanged: make(chan struct{}),
 	}
 }
 
 // Run keeps in touch until the context ends.
 func (u *Uplink) Run(ctx context.Context) {
-	u.follow(ctx, nil)
-	ticker := u.options.Clock.NewTicker(reviewInterval)
+	u.syncLoops(ctx, nil)
+	ticker := u.options.Clock.NewTicker(refreshInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.Chan():
-			u.follow(ctx, u.memberAddresses())
-			u.review()
+			u.syncLoops(ctx, u.memberAddresses())
+			u.refresh()
 		}
 	}
 }
@@ -120,37 +120,37 @@
 func (u *Uplink) SetAddresses(addresses []string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.addresses = addresses
+	u.configuredAddresses = addresses
 }
 
 // follow keeps one loop running for each address that is set or a member.
-func (u *Uplink) follow(ctx context.Context, addresses []string) {
+func (u *Uplink) syncLoops(ctx context.Context, addresses []string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	wanted := map[string]bool{}
-	for _, a := range append(append([]string(nil), u.addresses...), addresses...) {
+	for _, a := range append(append([]string(nil), u.configuredAddresses...), addresses...) {
 		wanted[a] = true
-		if u.loops[a] == nil {
+		if u.helloLoops[a] == nil {
 			loop, cancel := context.WithCancel(ctx)
-			u.loops[a] = cancel
-			go u.loop(loop, a)
+			u.helloLoops[a] = cancel
+			go u.helloLoop(loop, a)
 		}
 	}
-	for a, cancel := range u.loops {
+	for a, cancel := range u.helloLoops {
 		if !wanted[a] {
 			cancel()
-			delete(u.loops, a)
+			delete(u.helloLoops, a)
 			delete(u.replicas, a)
 		}
 	}
 }
 
-func (u *Uplink) loop(ctx context.Context, address string) {
+func (u *Uplink) helloLoop(ctx context.Context, address string) {
 	for ctx.Err() == nil {
-		pause := helloPause
+		pause := helloInterval
 		if !u.hello(ctx, address) {
 			helloFailed.Inc()
-			pause = failedPause
+			pause = helloBackoff
 		}
 		select {
 		case <-ctx.Done():
@@ -166,56 +166,56 @@
 	}
 	self := &wire.EntryStatus{
 		EntryId: u.options.Self.EntryId, Address: u.options.Self.Address,
-		FailureDomain: u.options.Self.FailureDomain, ConfigurationVersion: u.version(),
+		FailureDomain: u.options.Self.FailureDomain, ConfigurationVersion: u.configurationVersion(),
 	}
-	known := u.lastOf(address)
+	known := u.lastResponse(address)
 	limited, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
 	response, err := wire.NewControlServiceClient(conn).Hello(limited, &wire.HelloRequest{
 		Entry: self, KnownLeader: known.GetLeaderAddress(), KnownTerm: known.GetTerm(),
-		KnownEntries: known.GetEntriesDigest(), KnownDrains: u.drainRevision(),
+		KnownEntries: known.GetEntriesDigest(), KnownDrains: u.knownDrainRevision(),
 	})
 	if err != nil {
-		u.noteFailed(address)
+		u.recordFailure(address)
 		return false
 	}
-	u.note(address, response)
-	u.noteDrained(response)
-	u.catchUp(ctx, conn, response)
+	u.recordHello(address, response)
+	u.applyDrained(response)
+	u.fetchConfiguration(ctx, conn, response)
 	return true
 }
 
-func (u *Uplink) lastOf(address string) *wire.HelloResponse {
+func (u *Uplink) lastResponse(address string) *wire.HelloResponse {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.replicas[address].response
 }
 
-func (u *Uplink) note(address string, r *wire.HelloResponse) {
+func (u *Uplink) recordHello(address string, r *wire.HelloResponse) {
 	u.mu.Lock()
 	if known := u.replicas[address].response; r.EntriesDigest != 0 && r.EntriesDigest == known.GetEntriesDigest() {
 		r.Entries = known.Entries
 	}
-	u.replicas[address] = heard{response: r, at: u.options.Clock.Now()}
+	u.replicas[address] = replicaStatus{response: r, receivedAt: u.options.Clock.Now()}
 	u.mu.Unlock()
-	u.review()
+	u.refresh()
 }
 
-func (u *Uplink) drainRevision() uint64 {
+func (u *Uplink) knownDrainRevision() uint64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.drains
+	return u.drainRevision
 }
 
-// noteDrained takes over which failure domains are drained, unless later ones are
+// applyDrained takes over which failure domains are drained, unless later ones are
 // known: a replica may lag behind another one that told before.
-func (u *Uplink) noteDrained(r *wire.HelloResponse) {
-	u.reviewing.Lock()
-	defer u.reviewing.Unlock()
+func (u *Uplink) applyDrained(r *wire.HelloResponse) {
+	u.refreshMu.Lock()
+	defer u.refreshMu.Unlock()
 	u.mu.Lock()
-	newer := r.DrainRevision > u.drains
+	newer := r.DrainRevision > u.drainRevision
 	if newer {
-		u.drains = r.DrainRevision
+		u.drainRevision = r.DrainRevision
 	}
 	u.mu.Unlock()
 	if !newer {
@@ -227,20 +227,20 @@
 	}
 }
 
-func (u *Uplink) noteFailed(address string) {
+func (u *Uplink) recordFailure(address string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if h, ok := u.replicas[address]; ok {
-		h.failed++
+		h.failedHellos++
 		u.replicas[address] = h
 	}
 }
 
 // review works out from what the replicas said lately who leads, by the
 // highest term, and which entries there are.
-func (u *Uplink) review() {
-	u.reviewing.Lock()
-	defer u.reviewing.Unlock()
+func (u *Uplink) refresh() {
+	u.refreshMu.Lock()
+	defer u.refreshMu.Unlock()
 	now := u.options.Clock.Now()
 	u.mu.Lock()
 	var leader string
@@ -248,7 +248,7 @@
 	entries := map[string]*wire.EntryStatus{u.options.Self.EntryId: u.options.Self}
 	fresh := 0
 	for _, h := range u.replicas {
-		if now.Sub(h.at) > heardLimit {
+		if now.Sub(h.receivedAt) > statusTTL {
 			continue
 		}
 		fresh++
@@ -263,13 +263,13 @@
 	if fresh > 0 { // else the last view is the best there is
 		changed = u.setEntries(entries)
 	}
-	if leader != "" && leader != u.leader {
+	if leader != "" && leader != u.leaderAddress {
 		u.options.Logger.Info("leader changed", "leader", leader, "term", term)
 		close(u.leaderChanged)
 		u.leaderChanged = make(chan struct{})
 	}
-	u.leader, u.term = leader, term
-	ids := u.ids
+	u.leaderAddress, u.term = leader, term
+	ids := u.entryIDs
 	u.mu.Unlock()
 	if changed {
 		u.options.OnEntriesChanged(ids)
@@ -284,20 +284,20 @@
 		list = append(list, e)
 	}
 	sort.Strings(ids)
-	same := len(ids) == len(u.ids)
+	same := len(ids) == len(u.entryIDs)
 	for i := 0; same && i < len(ids); i++ {
-		same = ids[i] == u.ids[i]
+		same = ids[i] == u.entryIDs[i]
 	}
-	u.ids, u.entries = ids, list
+	u.entryIDs, u.entries = ids, list
 	return !same
 }
 
-// catchUp fetches a configuration newer than the one in force here. The first
+// fetchConfiguration fetches a configuration newer than the one in force here. The first
 // one must come from a leader confirmed by a quorum: this entry, or the one it
 // replaces, may have had a later one in force than a lagging replica knows.
-func (u *Uplink) catchUp(ctx context.Context, conn *grpc.ClientConn, r *wire.HelloResponse) {
-	first := u.current.Load() == nil
-	if !first && r.ConfigurationVersion <= u.version() {
+func (u *Uplink) fetchConfiguration(ctx context.Context, conn *grpc.ClientConn, r *wire.HelloResponse) {
+	first := u.config.Load() == nil
+	if !first && r.ConfigurationVersion <= u.configurationVersion() {
 		return
 	}
 	if first {
@@ -307,38 +307,38 @@
 		}
 		conn = leader
 	}
-	if !u.fetching.TryLock() {
+	if !u.fetchMu.TryLock() {
 		return
 	}
-	defer u.fetching.Unlock()
+	defer u.fetchMu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
 	got, err := wire.NewControlServiceClient(conn).FetchConfiguration(ctx, &wire.FetchConfigurationRequest{QuorumConfirmed: first})
 	if err != nil || got.Current == nil {
 		return
 	}
-	u.adopt(got.Current)
+	u.applyConfiguration(got.Current)
 }
 
 // adopt puts a configuration in force unless a later one is.
-func (u *Uplink) adopt(v *wire.ConfigurationVersion) {
-	current := u.current.Load()
+func (u *Uplink) applyConfiguration(v *wire.ConfigurationVersion) {
+	current := u.config.Load()
 	if current != nil && v.Version <= current.Version {
 		return
 	}
 	configFetched.Inc()
 	u.options.OnConfiguration(v)
-	u.current.Store(v)
+	u.config.Store(v)
 	u.options.Logger.Info("configuration in force", "version", v.Version)
 }
 
-func (u *Uplink) version() uint64 {
-	return u.current.Load().GetVersion()
+func (u *Uplink) configurationVersion() uint64 {
+	return u.config.Load().GetVersion()
 }
 
 // Configuration is what is in force here; nil before the first.
 func (u *Uplink) Configuration() *wire.ConfigurationVersion {
-	return u.current.Load()
+	return u.config.Load()
 }
 
 // Entries lists the entries seen, this one included.
@@ -353,7 +353,7 @@
 	addresses := map[string]bool{}
 	members := u.memberAddresses()
 	u.mu.Lock()
-	for _, a := range append(members, u.addresses...) {
+	for _, a := range append(members, u.configuredAddresses...) {
 		addresses[a] = true
 	}
 	u.mu.Unlock()
@@ -386,27 +386,27 @@
 
 // HasQuorum tells whether a majority of the voters was heard lately.
 func (u *Uplink) HasQuorum() bool {
-	heardLately, voters := u.countVoters(func(heard) bool { return true })
+	heardLately, voters := u.countVoters(func(replicaStatus) bool { return true })
 	return voters > 0 && heardLately > voters/2
 }
 
-// quorumAnswers tells whether a majority of the voters may answer: all but those
+// quorumResponsive tells whether a majority of the voters may answer: all but those
 // that have said nothing for too long, or whose hellos failed again. Before any
 // voter is known it may.
-func (u *Uplink) quorumAnswers() bool {
-	answering, voters := u.countVoters(func(h heard) bool { return h.failed < maxFailed })
+func (u *Uplink) quorumResponsive() bool {
+	answering, voters := u.countVoters(func(h replicaStatus) bool { return h.failedHellos < maxFailedHellos })
 	return voters == 0 || answering > voters/2
 }
 
 // countVoters counts the voters that were heard lately and that a condition holds
 // for, and all.
-func (u *Uplink) countVoters(holds func(heard) bool) (counted, voters int) {
+func (u *Uplink) countVoters(holds func(replicaStatus) bool) (counted, voters int) {
 	now := u.options.Clock.Now()
 	addresses := u.memberAddresses()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, a := range addresses {
-		if h, ok := u.replicas[a]; ok && now.Sub(h.at) <= heardLimit && holds(h) {
+		if h, ok := u.replicas[a]; ok && now.Sub(h.receivedAt) <= statusTTL && holds(h) {
 			counted++
 		}
 	}
@@ -424,7 +424,7 @@
 func (u *Uplink) LeaderAddress() string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.leader
+	return u.leaderAddress
 }
 
 // Leader returns a connection to the leader.
@@ -436,10 +436,10 @@
 	return u.options.Pool.Conn(address)
 }
 
-// leaderNow is the leader's address, or empty, and what is closed once another
+// watchLeader is the leader's address, or empty, and what is closed once another
 // leader is known.
-func (u *Uplink) leaderNow() (string, <-chan struct{}) {
+func (u *Uplink) watchLeader() (string, <-chan struct{}) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.leader, u.leaderChanged
+	return u.leaderAddress, u.leaderChanged
 }
--- a/internal/run/entry/desk.go
+++ b/internal/run/entry/desk.go
@@ -78,27 +78,27 @@
 	d.Submit = func(ctx context.Context, r *wire.SubmitWorkRequest) (*wire.SubmitWorkResponse, error) {
 		began := e.clock.Now()
 		response, err := submit(ctx, r)
-		e.noteWork("submit", r.Target, response.GetAnswer(), began, err)
+		e.recordWork("submit", r.Target, response.GetAnswer(), began, err)
 		return response, err
 	}
 	d.Cancel = func(ctx context.Context, r *wire.CancelWorkRequest) (*wire.CancelWorkResponse, error) {
 		began := e.clock.Now()
 		response, err := cancel(ctx, r)
-		e.noteWork("cancel", r.Target, response.GetAnswer(), began, err)
+		e.recordWork("cancel", r.Target, response.GetAnswer(), began, err)
 		return response, err
 	}
 	d.Inspect = func(ctx context.Context, r *wire.InspectWorkRequest) (*wire.InspectWorkResponse, error) {
 		began := e.clock.Now()
 		response, err := inspect(ctx, r)
 		if err != nil {
-			e.noteWork("inspect", r.Target, response.GetAnswer(), began, err)
+			e.recordWork("inspect", r.Target, response.GetAnswer(), began, err)
 		}
 		return response, err
 	}
 	return d
 }
 
-func (e *Entry) noteWork(call string, target *wire.WorkTarget, answer wire.WorkAnswer, began time.Time, err error) {
+func (e *Entry) recordWork(call string, target *wire.WorkTarget, answer wire.WorkAnswer, began time.Time, err error) {
 	took := e.clock.Now().Sub(began)
 	workSeconds.Update(took.Seconds())
 	if err != nil {
--- a/internal/run/entry/entry.go
+++ b/internal/run/entry/entry.go
@@ -38,10 +38,10 @@
 	sweepInterval = 50 * time.Millisecond
 	// settling is the time within which the other entries have surely seen a
 	// change of entries: two hellos and some.
-	settling = time.Second
+	settleTime = time.Second
 	// messageOverhead is what a message may have beside its payload.
-	messageOverhead = 64 << 10
-	secondsInterval = time.Second
+	messageOverhead      = 64 << 10
+	housekeepingInterval = time.Second
 )
 
 // Platform connects an entry with clients that don't speak its gRPC interface.
@@ -66,7 +66,7 @@
 	relay    *relay.Relay
 	roster   *roster.Roster
 	calls    *calls.Server
-	share    *sharer
+	sharer   *sharer
 	server   *grpc.Server
 	health   *health.Server
 	divider  atomic.Pointer[slots.Divider]
@@ -106,9 +106,9 @@
 	return append(setup.Seeds(s.Seeds), s.ControlAddresses...)
 }
 
-// followSettings takes over the control replicas that settings read anew name.
+// watchSettings takes over the control replicas that settings read anew name.
 // All else holds from the next start on.
-func (e *Entry) followSettings(ctx context.Context) {
+func (e *Entry) watchSettings(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -148,7 +148,7 @@
 		},
 	})
 	e.relay = relay.New(common.InstanceId, e.uplink, e.clock, e.logger)
-	e.share = &sharer{entry: e}
+	e.sharer = &sharer{entry: e}
 	e.server, e.health = link.NewServer(int(e.settings.MaxPayloadBytes)+messageOverhead, e.pool.Options.Traced)
 	wire.RegisterCallerServiceServer(e.server, e.calls)
 	wire.RegisterWorkerServiceServer(e.server, e.relay)
@@ -162,7 +162,7 @@
 // entriesChanged divides the slots anew, and again once the change has
 // settled.
 func (e *Entry) entriesChanged(ids []string) {
-	next := e.divider.Load().WithEntries(e.settings.Common.InstanceId, ids, e.clock.Now(), settling)
+	next := e.divider.Load().WithEntries(e.settings.Common.InstanceId, ids, e.clock.Now(), settleTime)
 	e.divider.Store(&next)
 	e.calls.Resize()
 }
@@ -173,9 +173,9 @@
 	group, background := errgroup.WithContext(background)
 	group.Go(func() error { e.uplink.Run(background); return nil })
 	group.Go(func() error { e.relay.Run(background); return nil })
-	group.Go(func() error { e.share.run(background); return nil })
+	group.Go(func() error { e.sharer.run(background); return nil })
 	group.Go(func() error { e.sweep(background); return nil })
-	group.Go(func() error { e.followSettings(background); return nil })
+	group.Go(func() error { e.watchSettings(background); return nil })
 	served := make(chan error, 1)
 	go func() { served <- e.server.Serve(listener) }()
 	select {
@@ -254,7 +254,7 @@
 		// Until its first slots are settled an entry could only refuse.
 		ready := hadSlots && e.uplink.Configuration() != nil && e.uplink.HasQuorum() && !e.draining.Load()
 		e.setReady(ready)
-		if now.Sub(lastSecond) >= secondsInterval {
+		if now.Sub(lastSecond) >= housekeepingInterval {
 			lastSecond = now
 			e.uplink.CountQuorumLoss()
 			e.pool.Keep(e.uplink.Addresses())
--- a/internal/run/entry/hear.go
+++ b/internal/run/entry/hear.go
@@ -37,11 +37,11 @@
 	// sharer passes on what this entry has heard itself to each other entry.
 	// A slow or silent one holds up no other.
 	sharer struct {
-		entry *Entry
-		mu    sync.Mutex
-		busy  map[string]bool
-		news  chan struct{}
-		once  sync.Once
+		entry    *Entry
+		mu       sync.Mutex
+		inFlight map[string]bool
+		pending  chan struct{}
+		once     sync.Once
 	}
 )
 
@@ -53,7 +53,7 @@
 // Announce hears one backend server until its stream ends.
 func (s *announceService) Announce(stream grpc.BidiStreamingServer[wire.AnnounceRequest, wire.AnnounceResponse]) error {
 	received := make(chan error, 1)
-	go func() { received <- s.hear(stream) }()
+	go func() { received <- s.receiveAnnouncements(stream) }()
 	select {
 	case err := <-received:
 		return err
@@ -62,7 +62,7 @@
 	}
 }
 
-func (s *announceService) hear(stream grpc.BidiStreamingServer[wire.AnnounceRequest, wire.AnnounceResponse]) error {
+func (s *announceService) receiveAnnouncements(stream grpc.BidiStreamingServer[wire.AnnounceRequest, wire.AnnounceResponse]) error {
 	var last *wire.Announcement
 	for {
 		r, err := stream.Recv()
@@ -76,7 +76,7 @@
 			return status.Error(codes.InvalidArgument, err.Error())
 		}
 		if last == nil || last.Leaving != r.Announcement.Leaving {
-			s.share.hurry()
+			s.sharer.flushSoon()
 		}
 		last = r.Announcement
 		if err := stream.Send(&wire.AnnounceResponse{}); err != nil {
@@ -97,15 +97,15 @@
 	return &wire.ShareRosterResponse{}, nil
 }
 
-func (s *sharer) signal() chan struct{} {
-	s.once.Do(func() { s.news = make(chan struct{}, 1) })
-	return s.news
+func (s *sharer) pendingSignal() chan struct{} {
+	s.once.Do(func() { s.pending = make(chan struct{}, 1) })
+	return s.pending
 }
 
 // hurry shares at once instead of at the next interval.
-func (s *sharer) hurry() {
+func (s *sharer) flushSoon() {
 	select {
-	case s.signal() <- struct{}{}:
+	case s.pendingSignal() <- struct{}{}:
 	default:
 	}
 }
@@ -118,7 +118,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.Chan():
-		case <-s.signal():
+		case <-s.pendingSignal():
 		}
 		heard := s.entry.roster.DirectAnnouncements(s.entry.clock.Now())
 		if len(heard) == 0 {
@@ -126,23 +126,23 @@
 		}
 		request := &wire.ShareRosterRequest{EntryId: s.entry.settings.Common.InstanceId, Heard: heard}
 		for _, e := range s.entry.uplink.Entries() {
-			if e.EntryId != request.EntryId && s.begin(e.Address) {
+			if e.EntryId != request.EntryId && s.tryBegin(e.Address) {
 				go s.send(ctx, e.Address, request)
 			}
 		}
 	}
 }
 
-func (s *sharer) begin(address string) bool {
+func (s *sharer) tryBegin(address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.busy[address] {
+	if s.inFlight[address] {
 		return false
 	}
-	if s.busy == nil {
-		s.busy = map[string]bool{}
+	if s.inFlight == nil {
+		s.inFlight = map[string]bool{}
 	}
-	s.busy[address] = true
+	s.inFlight[address] = true
 	return true
 }
 
@@ -150,7 +150,7 @@
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.busy, address)
+		delete(s.inFlight, address)
 	}()
 	conn, err := s.entry.pool.Conn(address)
 	if err != nil {
--- a/internal/run/entry/pass.go
+++ b/internal/run/entry/pass.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// passTimeout bounds calls that come without a deadline.
-	passTimeout = 30 * time.Second
-	watchPause  = 50 * time.Millisecond
+	// forwardTimeout bounds calls that come without a deadline.
+	forwardTimeout     = 30 * time.Second
+	watchRetryInterval = 50 * time.Millisecond
 )
 
 type (
@@ -40,8 +40,8 @@
 )
 
 // pass asks the leader by one method of a client.
-func pass[C, Q, R any](ctx context.Context, e *Entry, client func(grpc.ClientConnInterface) C, method func(C, context.Context, Q, ...grpc.CallOption) (R, error), request Q) (R, error) {
-	ctx, cancel := context.WithTimeout(ctx, passTimeout)
+func forward[C, Q, R any](ctx context.Context, e *Entry, client func(grpc.ClientConnInterface) C, method func(C, context.Context, Q, ...grpc.CallOption) (R, error), request Q) (R, error) {
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	return uplink.CallLeader(ctx, e.uplink, request, func(ctx context.Context, conn *grpc.ClientConn, q Q) (R, error) {
 		return method(client(conn), ctx, q)
@@ -54,22 +54,22 @@
 	if r.IdempotencyKey == "" {
 		return nil, status.Error(codes.InvalidArgument, "IdempotencyKey must have 1 to 128 bytes")
 	}
-	return pass(ctx, s.Entry, wire.NewJobServiceClient, wire.JobServiceClient.Submit, r)
+	return forward(ctx, s.Entry, wire.NewJobServiceClient, wire.JobServiceClient.Submit, r)
 }
 
 // Get passes the question on.
 func (s *jobService) Get(ctx context.Context, r *wire.GetRequest) (*wire.GetResponse, error) {
-	return pass(ctx, s.Entry, wire.NewJobServiceClient, wire.JobServiceClient.Get, r)
+	return forward(ctx, s.Entry, wire.NewJobServiceClient, wire.JobServiceClient.Get, r)
 }
 
 // List passes the question on.
 func (s *jobService) List(ctx context.Context, r *wire.ListRequest) (*wire.ListResponse, error) {
-	return pass(ctx, s.Entry, wire.NewJobServiceClient, wire.JobServiceClient.List, r)
+	return forward(ctx, s.Entry, wire.NewJobServiceClient, wire.JobServiceClient.List, r)
 }
 
 // Cancel passes the cancellation on; twice is as good as once.
 func (s *jobService) Cancel(ctx context.Context, r *wire.CancelRequest) (*wire.CancelResponse, error) {
-	return pass(ctx, s.Entry, wire.NewJobServiceClient, wire.JobServiceClient.Cancel, r)
+	return forward(ctx, s.Entry, wire.NewJobServiceClient, wire.JobServiceClient.Cancel, r)
 }
 
 // Watch follows a job across changes of leader.
@@ -84,7 +84,7 @@
 			return status.FromContextError(stream.Context().Err()).Err()
 		case <-s.closing:
 			return status.Error(codes.Unavailable, "this entry is stopping")
-		case <-s.clock.After(watchPause):
+		case <-s.clock.After(watchRetryInterval):
 		}
 	}
 }
@@ -118,17 +118,17 @@
 	if r.OperationId == "" {
 		return nil, status.Error(codes.InvalidArgument, "OperationId must have 1 to 128 bytes")
 	}
-	return pass(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.ApplyConfiguration, r)
+	return forward(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.ApplyConfiguration, r)
 }
 
 // GetConfiguration passes the question on.
 func (s *operatorService) GetConfiguration(ctx context.Context, r *wire.GetConfigurationRequest) (*wire.GetConfigurationResponse, error) {
-	return pass(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.GetConfiguration, r)
+	return forward(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.GetConfiguration, r)
 }
 
 // ListConfigurationHistory passes the question on.
 func (s *operatorService) ListConfigurationHistory(ctx context.Context, r *wire.ListConfigurationHistoryRequest) (*wire.ListConfigurationHistoryResponse, error) {
-	return pass(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.ListConfigurationHistory, r)
+	return forward(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.ListConfigurationHistory, r)
 }
 
 // ListBackendServers tells what this entry knows.
@@ -138,26 +138,26 @@
 
 // ListWorkers passes the question on.
 func (s *operatorService) ListWorkers(ctx context.Context, r *wire.ListWorkersRequest) (*wire.ListWorkersResponse, error) {
-	return pass(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.ListWorkers, r)
+	return forward(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.ListWorkers, r)
 }
 
 // QuarantineWorker passes the order on; twice is as good as once.
 func (s *operatorService) QuarantineWorker(ctx context.Context, r *wire.QuarantineWorkerRequest) (*wire.QuarantineWorkerResponse, error) {
-	return pass(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.QuarantineWorker, r)
+	return forward(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.QuarantineWorker, r)
 }
 
 // ListControlMembers passes the question on.
 func (s *operatorService) ListControlMembers(ctx context.Context, r *wire.ListControlMembersRequest) (*wire.ListControlMembersResponse, error) {
-	return pass(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.ListControlMembers, r)
+	return forward(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.ListControlMembers, r)
 }
 
 // ChangeControlMember passes the change on; each of its steps is skipped when
 // an earlier try has taken it.
 func (s *operatorService) ChangeControlMember(ctx context.Context, r *wire.ChangeControlMemberRequest) (*wire.ChangeControlMemberResponse, error) {
-	return pass(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.ChangeControlMember, r)
+	return forward(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.ChangeControlMember, r)
 }
 
 // GetStatus passes the question on.
 func (s *operatorService) GetStatus(ctx context.Context, r *wire.GetStatusRequest) (*wire.GetStatusResponse, error) {
-	return pass(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.GetStatus, r)
+	return forward(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.GetStatus, r)
 }
