--- a/internal/base/admin/admin.go
+++ b/internal/base/admin/admin.go
@@ -76,7 +76,7 @@
 		level = slog.LevelInfo
 	}
 	options := &slog.HandlerOptions{Level: level}
-	lines := NewLines(w)
+	lines := NewAsyncWriter(w)
 	var handler slog.Handler = slog.NewTextHandler(lines, options)
 	if s.LogFormat == "json" {
 		handler = slog.NewJSONHandler(lines, options)
--- a/internal/base/admin/lines.go
+++ b/internal/base/admin/lines.go
@@ -21,24 +21,24 @@
 // Lines passes log lines on to a writer without ever blocking. Whoever reads
 // the process's output may stop reading; a write would then hold up the request
 // or the loop that logs. Lines that find the queue full are counted and lost.
-type Lines struct {
+type AsyncWriter struct {
 	to      io.Writer
 	queue   chan []byte
 	done    chan struct{}
 	closing sync.Once
 }
 
-var _ io.Writer = (*Lines)(nil)
+var _ io.Writer = (*AsyncWriter)(nil)
 
-// NewLines starts passing lines on to w.
-func NewLines(w io.Writer) *Lines {
-	l := &Lines{to: w, queue: make(chan []byte, queuedLines), done: make(chan struct{})}
+// NewAsyncWriter starts passing lines on to w.
+func NewAsyncWriter(w io.Writer) *AsyncWriter {
+	l := &AsyncWriter{to: w, queue: make(chan []byte, queuedLines), done: make(chan struct{})}
 	go l.run()
 	return l
 }
 
 // Write queues one line. It always reports success.
-func (l *Lines) Write(line []byte) (int, error) {
+func (l *AsyncWriter) Write(line []byte) (int, error) {
 	held := append([]byte(nil), line...)
 	select {
 	case l.queue <- held:
@@ -49,13 +49,13 @@
 }
 
 // Close writes out what is queued. Lines written after that are lost.
-func (l *Lines) Close() {
+func (l *AsyncWriter) Close() {
 	l.closing.Do(func() { l.queue <- nil })
 	<-l.done
 }
 
 // run writes what has gathered in one go: a write costs more than a line.
-func (l *Lines) run() {
+func (l *AsyncWriter) run() {
 	defer close(l.done)
 	var batch []byte
 	for line := range l.queue {
--- a/internal/base/files/files.go
+++ b/internal/base/files/files.go
@@ -50,7 +50,7 @@
 
 // Share divides up the descriptors that the process may use: those of a setting, or
 // all that the system allows where that is fewer or the setting is 0.
-func Share(setting uint32) Budget {
+func NewBudget(setting uint32) Budget {
 	limit := systemLimit()
 	if setting > 0 {
 		limit = min(limit, int(setting))
@@ -73,7 +73,7 @@
 
 // Scarce tells whether an error says that no descriptor was left, of the process or
 // of the system. It passes; a failed disk doesn't.
-func Scarce(err error) bool {
+func IsDescriptorExhausted(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
@@ -89,7 +89,7 @@
 func retry(open func() (*os.File, error), sleep func(time.Duration), told func(error)) (*os.File, error) {
 	for waited := time.Duration(0); ; waited += openRetry {
 		file, err := open()
-		if !Scarce(err) || waited >= openPatience {
+		if !IsDescriptorExhausted(err) || waited >= openPatience {
 			return file, err
 		}
 		if waited == 0 && told != nil {
--- a/internal/base/files/files_test.go
+++ b/internal/base/files/files_test.go
@@ -22,13 +22,13 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := Share(c.setting)
+			b := NewBudget(c.setting)
 			assert.Equal(t, b.Agents, c.agents)
 			assert.Equal(t, b.Callers, c.callers)
 		})
 	}
 	t.Run("no setting", func(t *testing.T) {
-		b := Share(0)
+		b := NewBudget(0)
 		assert.Assert(t, b.Limit > 0 && b.Agents+b.Callers <= max(b.Limit, 2*leastShare))
 	})
 }
@@ -66,7 +66,7 @@
 	}
 	t.Run("never", func(t *testing.T) {
 		_, err := retry(func() (*os.File, error) { return nil, lacking }, func(time.Duration) {}, nil)
-		assert.Assert(t, Scarce(err))
+		assert.Assert(t, IsDescriptorExhausted(err))
 	})
 }
 
--- a/internal/base/link/link.go
+++ b/internal/base/link/link.go
@@ -46,7 +46,7 @@
 	Traced bool
 	// Source is the IP number that connections are opened from; the system's
 	// choice when empty.
-	Source string
+	SourceIP string
 }
 
 // Link is a connection to one address that is replaced when it goes silent.
@@ -153,7 +153,7 @@
 // dial opens a connection.
 func (o Options) dial(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{}
-	if ip := net.ParseIP(o.Source); ip != nil {
+	if ip := net.ParseIP(o.SourceIP); ip != nil {
 		d.LocalAddr = &net.TCPAddr{IP: ip}
 	}
 	return d.DialContext(ctx, "tcp", address)
@@ -191,7 +191,7 @@
 }
 
 // Keep closes the links to all other addresses.
-func (p *Pool) Keep(addresses map[string]bool) {
+func (p *Pool) Retain(addresses map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for a, l := range p.links {
--- a/internal/base/setup/file.go
+++ b/internal/base/setup/file.go
@@ -8,15 +8,15 @@
 	"os"
 )
 
-// FileVariable names the environment variable that holds the path of the
+// FileEnvVar names the environment variable that holds the path of the
 // settings file. What a flag or a variable of its own says goes before what
 // the file says.
-const FileVariable = Prefix + "SETTINGS"
+const FileEnvVar = EnvPrefix + "SETTINGS"
 
 // readFile reads the settings file into values by option name. The file is a
 // JSON object of strings, named as the fields of the settings are.
 func (b *Binder) readFile() (map[string]string, error) {
-	path, ok := b.LookupEnv(FileVariable)
+	path, ok := b.LookupEnv(FileEnvVar)
 	if !ok || path == "" {
 		return nil, nil
 	}
--- a/internal/base/setup/setup.go
+++ b/internal/base/setup/setup.go
@@ -24,7 +24,7 @@
 )
 
 // Prefix begins the names of all environment variables that are read.
-const Prefix = "SYCAMOREDECK_"
+const EnvPrefix = "SYCAMOREDECK_"
 
 type (
 	// Error names a setting that stops the start.
@@ -92,7 +92,7 @@
 }
 
 func variable(name string) string {
-	return Prefix + strings.ToUpper(strings.ReplaceAll(name, "-", "_"))
+	return EnvPrefix + strings.ToUpper(strings.ReplaceAll(name, "-", "_"))
 }
 
 // Load reads all settings into the message. The error is an *Error for the
@@ -130,8 +130,8 @@
 	known := knownVariables()
 	for _, pair := range b.Environ() {
 		name, value, _ := strings.Cut(pair, "=")
-		if strings.HasPrefix(name, Prefix) && !known[name] {
-			flag := strings.ToLower(strings.ReplaceAll(strings.TrimPrefix(name, Prefix), "_", "-"))
+		if strings.HasPrefix(name, EnvPrefix) && !known[name] {
+			flag := strings.ToLower(strings.ReplaceAll(strings.TrimPrefix(name, EnvPrefix), "_", "-"))
 			return &Error{Setting: flag, Value: value, Allowed: "only known settings; this one isn't"}
 		}
 	}
@@ -141,7 +141,7 @@
 // knownVariables are those of all commands, since one environment may serve
 // several.
 func knownVariables() map[string]bool {
-	known := map[string]bool{FileVariable: true}
+	known := map[string]bool{FileEnvVar: true}
 	messages := wire.File_sycamoredeck_v1_settings_proto.Messages()
 	for i := range messages.Len() {
 		fields := messages.Get(i).Fields()
@@ -209,7 +209,7 @@
 }
 
 // Advertised is the address at which others reach an instance.
-func Advertised(common *wire.CommonSettings) string {
+func AdvertisedAddress(common *wire.CommonSettings) string {
 	if common.AdvertiseAddress != "" {
 		return common.AdvertiseAddress
 	}
@@ -218,7 +218,7 @@
 
 // Seeds are the addresses at which the control replicas that the settings name
 // serve gRPC.
-func Seeds(s *wire.SeedSettings) []string {
+func SeedAddresses(s *wire.SeedSettings) []string {
 	var seeds []string
 	for _, address := range s.GetSeedAddresses() {
 		if host, _, err := net.SplitHostPort(address); err == nil && s.SeedPort != 0 {
--- a/internal/base/setup/setup_test.go
+++ b/internal/base/setup/setup_test.go
@@ -102,7 +102,7 @@
 				if name == "SYCAMOREDECK_INSTANCE_ID" {
 					return "from-variable", true
 				}
-				return path, name == setup.FileVariable
+				return path, name == setup.FileEnvVar
 			}
 			err := b.Load()
 			if c.says != "" {
--- a/internal/base/setup/watch.go
+++ b/internal/base/setup/watch.go
@@ -52,7 +52,7 @@
 // content is what the settings file holds; nil where there is none. That it
 // can't be read is reported when it is loaded.
 func (b *Binder) content() []byte {
-	path, ok := b.LookupEnv(FileVariable)
+	path, ok := b.LookupEnv(FileEnvVar)
 	if !ok {
 		return nil
 	}
--- a/internal/base/spans/spans.go
+++ b/internal/base/spans/spans.go
@@ -23,7 +23,7 @@
 
 // Start exports spans as the settings say and returns what flushes and ends
 // the export.
-func Start(ctx context.Context, role string, s *wire.CommonSettings) (func(context.Context) error, error) {
+func StartExport(ctx context.Context, role string, s *wire.CommonSettings) (func(context.Context) error, error) {
 	if s.TraceEndpoint == "" {
 		return func(context.Context) error { return nil }, nil
 	}
@@ -46,7 +46,7 @@
 }
 
 // Hop begins the span of one hop.
-func Hop(ctx context.Context, name string, attributes ...attribute.KeyValue) (context.Context, oteltrace.Span) {
+func StartSpan(ctx context.Context, name string, attributes ...attribute.KeyValue) (context.Context, oteltrace.Span) {
 	return otel.Tracer(scope).Start(ctx, name, oteltrace.WithAttributes(attributes...))
 }
 
--- a/internal/cli/cmds/root.go
+++ b/internal/cli/cmds/root.go
@@ -28,7 +28,7 @@
 
 // The exit codes.
 const (
-	ExitDone    = 0
+	ExitOK      = 0
 	ExitFailed  = 1
 	ExitUsage   = 2
 	ExitNotRun  = 3
@@ -76,7 +76,7 @@
 	root.SetErr(errOut)
 	err := root.ExecuteContext(ctx)
 	if err == nil {
-		return ExitDone
+		return ExitOK
 	}
 	fmt.Fprintf(errOut, "sycamoredeck: %s\n", message(err))
 	return exitCode(err)
--- a/internal/front/route/attempt.go
+++ b/internal/front/route/attempt.go
@@ -67,7 +67,7 @@
 // still be working on it: a slot given back at the deadline would let another
 // request in beside it, beyond what the backend server can run.
 func (b *Backend) Do(ctx context.Context, now time.Time, r Request) (answer Answer, late func() bool, err error) {
-	ctx, span := spans.Hop(ctx, "attempt", attribute.String("backend_server", b.ID()))
+	ctx, span := spans.StartSpan(ctx, "attempt", attribute.String("backend_server", b.ID()))
 	defer span.End()
 	c, err := b.connect(now, r.Deadline, !r.Idempotent)
 	if err != nil {
--- a/internal/itest/cluster_test.go
+++ b/internal/itest/cluster_test.go
@@ -453,6 +453,6 @@
 	events, err := audit.Read(present)
 	assert.NilError(c.t, err)
 	f := audit.Check(events, func(id string) bool { return strings.HasPrefix(id, "once") })
-	assert.Equal(c.t, f.Broken(), 0, "%v", f.Examples)
+	assert.Equal(c.t, f.Violations(), 0, "%v", f.Examples)
 	return f
 }
--- a/internal/model/audit/audit.go
+++ b/internal/model/audit/audit.go
@@ -44,7 +44,7 @@
 )
 
 // Broken is the number of broken promises.
-func (f *Findings) Broken() int {
+func (f *Findings) Violations() int {
 	return f.Overlaps + f.FinishedTwice + f.RunTwice + f.NotRunButRan
 }
 
--- a/internal/model/caller/caller.go
+++ b/internal/model/caller/caller.go
@@ -48,11 +48,11 @@
 		Duration         time.Duration
 		Timeout          time.Duration
 		PayloadBytes     int
-		IdempotentPart   float64
+		IdempotentShare  float64
 		Seed             uint64
 		Prefix           string // of request ids
 		FollowRetryAfter bool
-		MaxReturns       int
+		MaxRetries       int
 		Journal          *front.Journal
 		// Connections is how many connections each entry gets; 1 when 0.
 		Connections int
@@ -147,7 +147,7 @@
 	due := began
 	for i := 0; due.Sub(began) < r.options.Duration && ctx.Err() == nil; i++ {
 		r.await(due)
-		idempotent := random.Float64() < r.options.IdempotentPart
+		idempotent := random.Float64() < r.options.IdempotentShare
 		select {
 		case tokens <- struct{}{}:
 			at, id := due, fmt.Sprintf("%s-%d", r.options.Prefix, i)
@@ -172,7 +172,7 @@
 			r.fail(err, idempotent)
 			return
 		}
-		if response.Outcome == wire.Outcome_OUTCOME_NOT_RUN && r.options.FollowRetryAfter && returns < r.options.MaxReturns {
+		if response.Outcome == wire.Outcome_OUTCOME_NOT_RUN && r.options.FollowRetryAfter && returns < r.options.MaxRetries {
 			r.count(func(s *Report) { s.Returns++ })
 			time.Sleep(response.RetryAfter.AsDuration())
 			continue
@@ -249,7 +249,7 @@
 	case wire.Outcome_OUTCOME_COMPLETED:
 		r.report.Completed++
 		_ = r.latency.RecordValue(min(us, maxRecorded))
-		if response.RequestId != id || !bytes.Equal(response.Payload, server.Answer(id, r.payload)) {
+		if response.RequestId != id || !bytes.Equal(response.Payload, server.ResponseBody(id, r.payload)) {
 			r.report.Wrong++
 		}
 		r.options.Journal.Add("completed", id, 0, 0)
--- a/internal/model/front/balancer.go
+++ b/internal/model/front/balancer.go
@@ -24,8 +24,8 @@
 	checkTimeout  = 500 * time.Millisecond
 )
 
-// ErrNone says that no entry is ready.
-var ErrNone = errors.New("no entry is ready")
+// ErrNoReadyEntry says that no entry is ready.
+var ErrNoReadyEntry = errors.New("no entry is ready")
 
 type target struct {
 	address string
@@ -117,7 +117,7 @@
 		}
 	}
 	if len(ready) == 0 {
-		return nil, ErrNone
+		return nil, ErrNoReadyEntry
 	}
 	return ready[rand.IntN(len(ready))].conn, nil
 }
--- a/internal/model/server/server.go
+++ b/internal/model/server/server.go
@@ -71,7 +71,7 @@
 )
 
 // With returns the sums of two, and the larger of each maximum.
-func (s Stats) With(o Stats) Stats {
+func (s Stats) Add(o Stats) Stats {
 	return Stats{
 		Served: s.Served + o.Served, Refused: s.Refused + o.Refused, Hung: s.Hung + o.Hung,
 		AfterLeaving: s.AfterLeaving + o.AfterLeaving,
@@ -164,7 +164,7 @@
 	}
 	time.Sleep(s.serviceTime() + 2*s.options.Delay)
 	s.stats.served.Add(1)
-	body := Answer(id, c.Request.Body())
+	body := ResponseBody(id, c.Request.Body())
 	if s.chance(s.options.Faults.Mismatch) {
 		c.Response.Header.Set(route.HeaderRequestID, id+"-other")
 	}
@@ -178,7 +178,7 @@
 }
 
 // Answer is the whole answer to a request, which callers check.
-func Answer(id string, payload []byte) []byte {
+func ResponseBody(id string, payload []byte) []byte {
 	answer := make([]byte, 0, 2*len(id)+len(payload)+2)
 	answer = append(append(answer, id...), '|')
 	answer = append(append(answer, payload...), '|')
--- a/internal/model/shell/shell.go
+++ b/internal/model/shell/shell.go
@@ -169,7 +169,7 @@
 	}
 	var sum server.Stats
 	for _, s := range all {
-		sum = sum.With(s)
+		sum = sum.Add(s)
 	}
 	return printJSON(out, sum)
 }
@@ -245,11 +245,11 @@
 	f.DurationVar(&o.Duration, "duration", 5*time.Second, "time to send for")
 	f.DurationVar(&o.Timeout, "timeout", time.Second, "timeout of each request")
 	f.IntVar(&o.PayloadBytes, "payload-bytes", 256, "size of each request")
-	f.Float64Var(&o.IdempotentPart, "idempotent", 1, "part of the requests that may be repeated")
+	f.Float64Var(&o.IdempotentShare, "idempotent", 1, "part of the requests that may be repeated")
 	f.Uint64Var(&o.Seed, "seed", 1, "seed of the random choices")
 	f.StringVar(&o.Prefix, "prefix", "r", "begin of the request ids")
 	f.BoolVar(&o.FollowRetryAfter, "follow-retry-after", false, "return when told, after a request wasn't run")
-	f.IntVar(&o.MaxReturns, "max-returns", 5, "returns of one request")
+	f.IntVar(&o.MaxRetries, "max-returns", 5, "returns of one request")
 	f.IntVar(&o.Connections, "connections", 1, "connections to each entry")
 	f.StringVar(&o.Direct, "direct", "", "call this backend server without an entry, as a baseline")
 	f.StringVar(&journal, "journal", "", "file for what callers were told")
@@ -300,7 +300,7 @@
 		if err := printJSON(out, findings); err != nil {
 			return err
 		}
-		if n := findings.Broken(); n > 0 {
+		if n := findings.Violations(); n > 0 {
 			return fmt.Errorf("%d promises broken", n)
 		}
 		return nil
--- a/internal/run/ctrl/ctrl.go
+++ b/internal/run/ctrl/ctrl.go
@@ -106,7 +106,7 @@
 		failed: make(chan error, 1), closing: make(chan struct{}),
 	}
 	limitMemory(settings.MemoryLimitMb)
-	flush, err := spans.Start(ctx, "control", settings.Common)
+	flush, err := spans.StartExport(ctx, "control", settings.Common)
 	if err != nil {
 		return err
 	}
@@ -172,8 +172,8 @@
 		}
 	}
 	common := c.settings.Common
-	c.pool.Options = link.Options{Traced: common.TraceEndpoint != "", Source: common.SourceAddress}
-	c.self = &wire.ControlMember{Name: common.InstanceId, Address: setup.Advertised(common), ReplicaId: durable.Vote.ReplicaId}
+	c.pool.Options = link.Options{Traced: common.TraceEndpoint != "", SourceIP: common.SourceAddress}
+	c.self = &wire.ControlMember{Name: common.InstanceId, Address: setup.AdvertisedAddress(common), ReplicaId: durable.Vote.ReplicaId}
 	c.founder = &peers.Founder{Self: c.self, Pool: &c.pool, JoinOnly: c.settings.FirstStart == "false"}
 	for _, text := range c.settings.FoundingMembers {
 		name, address, _ := strings.Cut(text, "=")
@@ -186,7 +186,7 @@
 // seedMembers are the control replicas that the settings name by address only.
 func seedMembers(s *wire.ControlSettings) []*wire.ControlMember {
 	var members []*wire.ControlMember
-	for _, address := range setup.Seeds(s.Seeds) {
+	for _, address := range setup.SeedAddresses(s.Seeds) {
 		members = append(members, &wire.ControlMember{Name: address, Address: address})
 	}
 	return members
@@ -201,7 +201,7 @@
 			return
 		case fresh := <-reloads:
 			c.founder.AddSeeds(seedMembers(fresh))
-			c.logger.Info("settings taken", "seeds", setup.Seeds(fresh.Seeds))
+			c.logger.Info("settings taken", "seeds", setup.SeedAddresses(fresh.Seeds))
 		}
 	}
 }
--- a/internal/run/ctrl/jobs.go
+++ b/internal/run/ctrl/jobs.go
@@ -51,7 +51,7 @@
 	if err := checkSubmit(r, int(s.settings.MaxPayloadBytes)); err != nil {
 		return nil, err
 	}
-	ctx, span := spans.Hop(ctx, "commit")
+	ctx, span := spans.StartSpan(ctx, "commit")
 	defer span.End()
 	result, err := s.node.Commit(ctx, &wire.Command{Body: &wire.Command_SubmitJob{SubmitJob: &wire.SubmitJob{
 		JobId: uuid.NewString(), IdempotencyKey: r.IdempotencyKey, Spec: r.Spec,
--- a/internal/run/ctrl/peer.go
+++ b/internal/run/ctrl/peer.go
@@ -220,7 +220,7 @@
 	if err := s.started(); err != nil {
 		return nil, err
 	}
-	ctx, span := spans.Hop(ctx, "commit")
+	ctx, span := spans.StartSpan(ctx, "commit")
 	defer span.End()
 	keep := s.clock.Now().Add(r.Timeout.AsDuration() + dispatchGrace)
 	result, err := s.node.Commit(ctx, &wire.Command{Body: &wire.Command_OpenDispatch{OpenDispatch: &wire.DispatchRecord{
--- a/internal/run/ctrl/work.go
+++ b/internal/run/ctrl/work.go
@@ -62,7 +62,7 @@
 		Leads: c.drives, MayOrder: c.node.RightToLead, Send: c.carry, Wall: time.Now,
 		Lease:           min(c.settings.AgentLease.AsDuration(), c.settings.MaxAgentLease.AsDuration()),
 		StopGrace:       c.settings.StopGrace.AsDuration(),
-		OtherRackFactor: c.settings.OtherRackFactor, Connections: files.Share(c.settings.MaxOpenFiles).Agents,
+		OtherRackFactor: c.settings.OtherRackFactor, Connections: files.NewBudget(c.settings.MaxOpenFiles).Agents,
 		Advise: c.advise, Off: off, Logger: c.logger,
 	})
 	c.machine.Graph().Finished = c.jobFinished
@@ -137,7 +137,7 @@
 	if c.platform.Serve == nil {
 		return func() {}, nil
 	}
-	budget := files.Share(c.settings.MaxOpenFiles)
+	budget := files.NewBudget(c.settings.MaxOpenFiles)
 	c.logger.Info("descriptors shared out", "limit", budget.Limit, "agents", budget.Agents, "callers", budget.Callers)
 	return c.platform.Serve(c.settings, budget, c.desk())
 }
--- a/internal/run/entry/entry.go
+++ b/internal/run/entry/entry.go
@@ -77,7 +77,7 @@
 // Run serves until the context ends, then finishes what is in flight.
 func Run(ctx context.Context, settings *wire.EntrySettings, logger *slog.Logger, platform Platform, reloads <-chan *wire.EntrySettings) error {
 	e := &Entry{platform: platform, reloads: reloads, settings: settings, logger: logger, clock: clockwork.NewRealClock(), closing: make(chan struct{})}
-	flush, err := spans.Start(ctx, "entry", settings.Common)
+	flush, err := spans.StartExport(ctx, "entry", settings.Common)
 	if err != nil {
 		return err
 	}
@@ -103,7 +103,7 @@
 // controlAddresses are those at which the settings say that control replicas
 // serve.
 func controlAddresses(s *wire.EntrySettings) []string {
-	return append(setup.Seeds(s.Seeds), s.ControlAddresses...)
+	return append(setup.SeedAddresses(s.Seeds), s.ControlAddresses...)
 }
 
 // followSettings takes over the control replicas that settings read anew name.
@@ -123,11 +123,11 @@
 
 func (e *Entry) build() {
 	common := e.settings.Common
-	e.pool.Options = link.Options{Traced: common.TraceEndpoint != "", Source: common.SourceAddress}
+	e.pool.Options = link.Options{Traced: common.TraceEndpoint != "", SourceIP: common.SourceAddress}
 	e.divider.Store(&slots.Divider{})
 	e.uplink = uplink.New(uplink.Options{
 		Clock: e.clock, Logger: e.logger, Pool: &e.pool, Addresses: controlAddresses(e.settings),
-		Self:           &wire.EntryStatus{EntryId: common.InstanceId, Address: setup.Advertised(common), FailureDomain: common.FailureDomain},
+		Self:           &wire.EntryStatus{EntryId: common.InstanceId, Address: setup.AdvertisedAddress(common), FailureDomain: common.FailureDomain},
 		Configured:     func(v *wire.ConfigurationVersion) { e.calls.Configure(v) },
 		EntriesChanged: e.entriesChanged,
 		Drained:        func(domains []string) { e.roster.SetDrained(e.clock.Now(), domains) },
@@ -257,7 +257,7 @@
 		if now.Sub(lastSecond) >= secondsInterval {
 			lastSecond = now
 			e.uplink.CountTouch()
-			e.pool.Keep(e.uplink.Addresses())
+			e.pool.Retain(e.uplink.Addresses())
 		}
 	}
 }
