--- a/internal/run/ctrl/work.go
+++ b/internal/run/ctrl/work.go
@@ -62,7 +62,7 @@
 		IsLeader: c.drives, HoldsLeaderLease: c.node.HoldsLeaderLease, Send: c.carry, WallClock: time.Now,
 		Lease:           min(c.settings.AgentLease.AsDuration(), c.settings.MaxAgentLease.AsDuration()),
 		StopGrace:       c.settings.StopGrace.AsDuration(),
-		OtherRackFactor: c.settings.OtherRackFactor, MaxConnections: files.Share(c.settings.MaxOpenFiles).Agents,
+		OtherRackFactor: c.settings.OtherRackFactor, MaxConnections: files.NewBudget(c.settings.MaxOpenFiles).Agents,
 		Advise: c.advise, Disabled: off, Logger: c.logger,
 	})
 	c.machine.Graph().OnJobFinished = c.jobFinished
@@ -137,7 +137,7 @@
 	if c.platform.Serve == nil {
 		return func() {}, nil
 	}
-	budget := files.Share(c.settings.MaxOpenFiles)
+	budget := files.NewBudget(c.settings.MaxOpenFiles)
 	c.logger.Info("descriptors shared out", "limit", budget.Limit, "agents", budget.Agents, "callers", budget.Callers)
 	return c.platform.Serve(c.settings, budget, c.desk())
 }
