--- a/internal/sched/drive/advice.go
+++ b/internal/sched/drive/advice.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// maxAdvised is how many agents one call names. A call's time grows with
+	// maxAgentsPerRequest is how many agents one call names. A call's time grows with
 	// them, and a step rarely needs more.
-	maxAdvised = 30
+	maxAgentsPerRequest = 30
 	// ticketMargin is how long a ticket must still hold when a start is ordered:
 	// the time of an order and one repetition.
 	ticketMargin = 800 * time.Millisecond
-	// adviceRetry is the pause after a call that had no answer.
-	adviceRetry = 300 * time.Millisecond
+	// adviceRetryInterval is the pause after a call that had no answer.
+	adviceRetryInterval = 300 * time.Millisecond
 )
 
 type (
@@ -49,26 +49,26 @@
 	}
 
 	ticket struct {
-		text  string
-		until time.Duration
+		text       string
+		validUntil time.Duration
 	}
 
 	// advice is what the service said of one step.
-	advice struct {
+	stageAdvice struct {
 		asked   map[string]bool
 		tickets map[string]ticket
 	}
 )
 
-// policyOf is the advice policy of a stage's queue, or nil.
-func (e *Engine) policyOf(s *graph.Stage) *wire.AdvicePolicy {
+// advicePolicyOf is the advice policy of a stage's queue, or nil.
+func (e *Engine) advicePolicyOf(s *graph.Stage) *wire.AdvicePolicy {
 	return e.graph.Queue(s.Job.Queue).GetAdvice()
 }
 
-func (e *Engine) adviceOf(s *graph.Stage) *advice {
+func (e *Engine) adviceOf(s *graph.Stage) *stageAdvice {
 	a := e.advice[s]
 	if a == nil {
-		a = &advice{asked: map[string]bool{}, tickets: map[string]ticket{}}
+		a = &stageAdvice{asked: map[string]bool{}, tickets: map[string]ticket{}}
 		e.advice[s] = a
 	}
 	return a
@@ -77,12 +77,12 @@
 // ticketFor returns a ticket that holds long enough for a start, or false.
 func (e *Engine) ticketFor(s *graph.Stage, agent string) (string, bool) {
 	t, ok := e.adviceOf(s).tickets[agent]
-	return t.text, ok && e.now+ticketMargin < t.until
+	return t.text, ok && e.now+ticketMargin < t.validUntil
 }
 
 // advised are the rooms of agents with a ticket for a stage.
-func (p *pass) advised(s *graph.Stage, rooms []*room) []*room {
-	var allowed []*room
+func (p *pass) withTickets(s *graph.Stage, rooms []*freeResources) []*freeResources {
+	var allowed []*freeResources
 	for _, m := range rooms {
 		if _, ok := p.engine.ticketFor(s, m.agent.record.Id); ok {
 			allowed = append(allowed, m)
@@ -91,12 +91,12 @@
 	return allowed
 }
 
-// askAdvice asks about agents that could take what is left of a stage: those
+// requestAdvice asks about agents that could take what is left of a stage: those
 // that weren't asked about yet, and those allowed whose tickets have run out.
 // The service takes one call of ours at a time.
-func (p *pass) askAdvice(s *graph.Stage, rooms []*room) {
+func (p *pass) requestAdvice(s *graph.Stage, rooms []*freeResources) {
 	e := p.engine
-	if e.advising || e.now < e.nextAdvice || e.options.Advise == nil {
+	if e.advicePending || e.now < e.nextAdvice || e.options.Advise == nil {
 		return
 	}
 	a := e.adviceOf(s)
@@ -111,19 +111,19 @@
 		if _, holds := e.ticketFor(s, id); holds || (a.asked[id] && !allowed) || !m.fits(s) {
 			continue
 		}
-		candidates = append(candidates, candidate{id, nameOf(m.agent.record), p.cost(s, m)})
+		candidates = append(candidates, candidate{id, agentName(m.agent.record), p.cost(s, m)})
 	}
 	if len(candidates) == 0 {
 		return
 	}
 	sort.Slice(candidates, func(i, k int) bool { return candidates[i].cost < candidates[k].cost })
 	r := AdviceRequest{Job: s.Job.ID, Occurrence: s.Occurrence, Step: s.Index, Term: e.term}
-	for _, c := range candidates[:min(len(candidates), maxAdvised)] {
+	for _, c := range candidates[:min(len(candidates), maxAgentsPerRequest)] {
 		r.Agents, r.Names = append(r.Agents, c.id), append(r.Names, c.name)
 	}
-	policy := e.policyOf(s)
+	policy := e.advicePolicyOf(s)
 	r.Timeout = policy.GetDecide().AsDuration() + time.Duration(len(r.Agents))*policy.GetInterval().AsDuration() + time.Second
-	e.advising = true
+	e.advicePending = true
 	e.options.Advise(r)
 }
 
@@ -133,10 +133,10 @@
 	if a.Request.Term != e.term || e.term == 0 {
 		return
 	}
-	e.advising, e.dirty = false, true
+	e.advicePending, e.placementDirty = false, true
 	t := e.graph.FindTask(&wire.RunId{Job: a.Request.Job, Occurrence: a.Request.Occurrence, Step: a.Request.Step})
 	if !a.Answered {
-		e.nextAdvice = now + adviceRetry
+		e.nextAdvice = now + adviceRetryInterval
 		e.options.Logger.Info("no advice", "job", a.Request.Job, "step", a.Request.Step, "agents", len(a.Request.Agents), "detail", a.Detail)
 		return
 	}
--- a/internal/sched/drive/clock.go
+++ b/internal/sched/drive/clock.go
@@ -5,15 +5,15 @@
 import "time"
 
 const (
-	// slowPercent is how much slower than ours an agent's clock may go; from
+	// maxClockSlowPercent is how much slower than ours an agent's clock may go; from
 	// the platform's description of its agents.
-	slowPercent = 2
-	// lapseSlack covers timers that fire late on the agent.
-	lapseSlack = 200 * time.Millisecond
-	// earlierLeader is how long after this leader's election an order of an
+	maxClockSlowPercent = 2
+	// expirySlack covers timers that fire late on the agent.
+	expirySlack = 200 * time.Millisecond
+	// earlierLeaderMargin is how long after this leader's election an order of an
 	// earlier one may still have been sent: its right to lead ends before the
 	// election, so this covers only the time from its check to the wire.
-	earlierLeader = 1500 * time.Millisecond
+	earlierLeaderMargin = 1500 * time.Millisecond
 )
 
 // agentClock is what is known of one incarnation's clock and of the deadlines
@@ -29,7 +29,7 @@
 
 // note takes a reading. A reading that is overtaken by a later one is older
 // than it and is left out.
-func (c *agentClock) note(reading, now time.Duration) {
+func (c *agentClock) update(reading, now time.Duration) {
 	if c.known && reading <= c.reading {
 		return
 	}
@@ -37,36 +37,36 @@
 }
 
 // at is the latest that the agent's clock may show now.
-func (c *agentClock) at(now time.Duration) time.Duration {
+func (c *agentClock) latest(now time.Duration) time.Duration {
 	return c.reading + now - c.readAt
 }
 
 // grant returns the deadline for an order sent now, and remembers it; 0 while
 // the clock isn't known.
-func (c *agentClock) grant(now, lease time.Duration) time.Duration {
+func (c *agentClock) grantLease(now, lease time.Duration) time.Duration {
 	if !c.known {
 		return 0
 	}
-	d := (c.at(now) + lease).Truncate(time.Millisecond)
+	d := (c.latest(now) + lease).Truncate(time.Millisecond)
 	c.deadline = max(c.deadline, d)
 	return d
 }
 
-// lapsesAt is when every lease on the agent has run out, but for lapseSlack: those that
+// leasesExpireAt is when every lease on the agent has run out, but for expirySlack: those that
 // this leader sent by the agent's clock at its slowest, those of earlier leaders by the
 // longest lease since they could last send one.
-func (c *agentClock) lapsesAt(ledSince, lease time.Duration) time.Duration {
-	at := ledSince + bySlowClock(earlierLeader+lease)
+func (c *agentClock) leasesExpireAt(ledSince, lease time.Duration) time.Duration {
+	at := ledSince + slowClockDuration(earlierLeaderMargin+lease)
 	if c.deadline != 0 {
-		at = max(at, c.readAt+bySlowClock(c.deadline-c.reading))
+		at = max(at, c.readAt+slowClockDuration(c.deadline-c.reading))
 	}
 	return at
 }
 
-// bySlowClock is how long a time of an agent's clock may take by ours.
-func bySlowClock(d time.Duration) time.Duration { return d * 100 / (100 - slowPercent) }
+// slowClockDuration is how long a time of an agent's clock may take by ours.
+func slowClockDuration(d time.Duration) time.Duration { return d * 100 / (100 - maxClockSlowPercent) }
 
 // lapsed tells whether every lease on the agent has surely run out.
-func (c *agentClock) lapsed(now, ledSince, lease time.Duration) bool {
-	return now > c.lapsesAt(ledSince, lease)+lapseSlack
+func (c *agentClock) leasesExpired(now, ledSince, lease time.Duration) bool {
+	return now > c.leasesExpireAt(ledSince, lease)+expirySlack
 }
--- a/internal/sched/drive/clock_test.go
+++ b/internal/sched/drive/clock_test.go
@@ -32,18 +32,18 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			assert.Equal(t, c.clock.lapsed(c.now, c.ledSince, lease), c.want)
+			assert.Equal(t, c.clock.leasesExpired(c.now, c.ledSince, lease), c.want)
 		})
 	}
 }
 
 func TestGrantRemembersTheHighestDeadline(t *testing.T) {
 	c := agentClock{}
-	assert.Equal(t, c.grant(time.Second, time.Second), time.Duration(0))
-	c.note(100*time.Second, 10*time.Second)
-	assert.Equal(t, c.grant(11*time.Second, 9*time.Second), 110*time.Second)
-	c.grant(11*time.Second, time.Second)
+	assert.Equal(t, c.grantLease(time.Second, time.Second), time.Duration(0))
+	c.update(100*time.Second, 10*time.Second)
+	assert.Equal(t, c.grantLease(11*time.Second, 9*time.Second), 110*time.Second)
+	c.grantLease(11*time.Second, time.Second)
 	assert.Equal(t, c.deadline, 110*time.Second)
-	c.note(99*time.Second, 12*time.Second)
+	c.update(99*time.Second, 12*time.Second)
 	assert.Equal(t, c.reading, 100*time.Second, "an overtaken reading counts")
 }
--- a/internal/sched/drive/ends.go
+++ b/internal/sched/drive/completions.go
@@ -11,15 +11,15 @@
 )
 
 // endings are ends that wait to be committed and who waits for that.
-type endings struct {
+type endBatch struct {
 	ends []*wire.RunEnd
 	done []func(ok bool)
 }
 
-// noteEnded commits the ends that the agent lists. They are acknowledged to
+// recordCompletions commits the ends that the agent lists. They are acknowledged to
 // it only after that, by the next hold.
-func (e *Engine) noteEnded(at *agent, a Answer) {
-	last := at.lastSeen
+func (e *Engine) recordCompletions(at *agent, a Answer) {
+	last := at.lastAcked
 	var ends []*wire.RunEnd
 	var skipped []Completion
 	for _, report := range a.Completions {
@@ -27,7 +27,7 @@
 		if known := at.runs[t]; known != nil {
 			known.listedAt = e.now
 		}
-		if report.Number <= at.lastSeen {
+		if report.Number <= at.lastAcked {
 			skipped = append(skipped, report)
 			continue
 		}
@@ -35,36 +35,36 @@
 		if t == nil || t.Agent != at.record.Id || t.Run != report.Run.Run {
 			continue
 		}
-		e.noteOutcome(at, t, report.Outcome)
+		e.recordOutcome(at, t, report.Outcome)
 		ends = append(ends, &wire.RunEnd{Id: report.Run, Agent: at.record.Id, Outcome: report.Outcome, Checkpoint: report.Checkpoint})
 	}
-	e.noteSkipped(at, skipped)
+	e.logSkippedCompletions(at, skipped)
 	if len(ends) == 0 {
-		at.lastSeen = last
+		at.lastAcked = last
 		return
 	}
-	at.ending = true
+	at.endsPending = true
 	e.commitEnds(ends, func(ok bool) {
-		at.ending = false
+		at.endsPending = false
 		if ok {
-			at.lastSeen = last
+			at.lastAcked = last
 		}
-		e.tendAgent(at)
+		e.reconcileAgent(at)
 	})
 }
 
-// noteSkipped logs ends that are left out as known, where the run that one of them
+// logSkippedCompletions logs ends that are left out as known, where the run that one of them
 // ends is taken to be there: then it isn't known, and its number belongs to another
 // count.
-func (e *Engine) noteSkipped(at *agent, skipped []Completion) {
+func (e *Engine) logSkippedCompletions(at *agent, skipped []Completion) {
 	for _, report := range skipped {
-		r := e.runOf(at, report.Run)
-		if r == nil || r.ending {
+		r := e.findRun(at, report.Run)
+		if r == nil || r.endPending {
 			continue
 		}
 		endsSkipped.Inc()
 		e.options.Logger.Warn("end left out by its number", "agent", at.record.Id, "job", report.Run.Job, "step", report.Run.Step, "index", report.Run.Index,
-			"run", report.Run.Run, "outcome", report.Outcome.String(), "number", report.Number, "acknowledged", at.lastSeen, "incarnation", at.incarnation)
+			"run", report.Run.Run, "outcome", report.Outcome.String(), "number", report.Number, "acknowledged", at.lastAcked, "incarnation", at.incarnation)
 	}
 }
 
@@ -74,40 +74,40 @@
 	for _, end := range ends {
 		countEnd(end.Outcome)
 	}
-	e.ended.ends = append(e.ended.ends, ends...)
-	e.ended.done = append(e.ended.done, done)
+	e.pendingEnds.ends = append(e.pendingEnds.ends, ends...)
+	e.pendingEnds.done = append(e.pendingEnds.done, done)
 }
 
 // flushEnds proposes the ends that wait.
 func (e *Engine) flushEnds() {
-	batch := e.ended
+	batch := e.pendingEnds
 	if len(batch.ends) == 0 {
 		return
 	}
-	e.ended = endings{}
-	e.options.Logger.Info("runs ended", "runs", endsText(batch.ends))
+	e.pendingEnds = endBatch{}
+	e.options.Logger.Info("runs ended", "runs", formatEnds(batch.ends))
 	e.propose(&wire.WorkCommand{Body: &wire.WorkCommand_End{End: &wire.EndRuns{Ends: batch.ends}}}, func(_ state.Result, err error) {
 		if err == nil {
-			e.forgetEnded(batch.ends)
+			e.removeEndedRuns(batch.ends)
 		}
-		e.touchAll(batch.ends)
+		e.markAgentsChanged(batch.ends)
 		for _, done := range batch.done {
 			done(err == nil)
 		}
 	})
 }
 
-// touchAll touches the agents that listed ends.
-func (e *Engine) touchAll(ends []*wire.RunEnd) {
+// markAgentsChanged touches the agents that listed ends.
+func (e *Engine) markAgentsChanged(ends []*wire.RunEnd) {
 	for _, end := range ends {
 		if at := e.agents[end.Agent]; at != nil {
-			at.touch()
+			at.markChanged()
 		}
 	}
 }
 
-// endsText lists ends for a log line, each as TASK#RUN@AGENT=HOW.
-func endsText(ends []*wire.RunEnd) string {
+// formatEnds lists ends for a log line, each as TASK#RUN@AGENT=HOW.
+func formatEnds(ends []*wire.RunEnd) string {
 	var text strings.Builder
 	for i, end := range ends {
 		if i > 0 {
--- a/internal/sched/drive/times_test.go
+++ b/internal/sched/drive/durations_test.go
@@ -13,13 +13,13 @@
 
 // fitOf is a fit to so many runs that take about a second each, spread by a factor's
 // logarithm, and whose declared times are off by another one's.
-func fitOf(runs int, spread, off float64) *timeFit {
+func fitOf(runs int, spread, off float64) *durationFit {
 	random := rand.New(rand.NewPCG(1, 2))
-	f := &timeFit{}
+	f := &durationFit{}
 	for range runs {
 		taken := time.Duration(float64(time.Second) * math.Exp(random.NormFloat64()*spread))
 		declared := time.Duration(float64(taken) * math.Exp(random.NormFloat64()*off))
-		f.note(declared, taken)
+		f.add(declared, taken)
 	}
 	return f
 }
@@ -37,11 +37,11 @@
 		declared    time.Duration
 		want        float64
 	}{
-		{"too few runs", fitSamples - 1, 0.5, 0.9, 4 * time.Second, 1},
+		{"too few runs", minFitSamples - 1, 0.5, 0.9, 4 * time.Second, 1},
 		{"declared times that are right", 2000, 0.5, 0, 4 * time.Second, 1},
 		{"declared times that say nothing", 2000, 0.01, 0.9, 4 * time.Second, 0.25},
 		{"declared times that say half of it", 2000, 0.5, 0.5, 4 * time.Second, 0.5},
-		{"more runs than count", 3 * recentSamples, 0.5, 0.5, time.Second / 4, 2},
+		{"more runs than count", 3 * maxFitSamples, 0.5, 0.5, time.Second / 4, 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -49,24 +49,24 @@
 		})
 	}
 	t.Run("all declared alike", func(t *testing.T) {
-		f := &timeFit{}
-		for range fitSamples {
-			f.note(time.Second, 3*time.Second)
+		f := &durationFit{}
+		for range minFitSamples {
+			f.add(time.Second, 3*time.Second)
 		}
 		assertNear(t, f.factor(time.Second), 3)
 	})
 	t.Run("no fit", func(t *testing.T) {
-		var none *timeFit
+		var none *durationFit
 		assert.Equal(t, none.factor(time.Second), 1.0)
 	})
 }
 
 func TestOwnTimesNeedTwoRuns(t *testing.T) {
-	o := &ownTimes{}
-	o.note(time.Second, 2*time.Second)
+	o := &jobDurations{}
+	o.add(time.Second, 2*time.Second)
 	_, known := o.factor()
 	assert.Assert(t, !known)
-	o.note(time.Second, 8*time.Second)
+	o.add(time.Second, 8*time.Second)
 	factor, known := o.factor()
 	assert.Assert(t, known)
 	assertNear(t, factor, 4)
--- a/internal/sched/drive/engine.go
+++ b/internal/sched/drive/engine.go
@@ -59,80 +59,80 @@
 
 	// Engine drives the agents while this replica leads.
 	Engine struct {
-		options Options
-		graph   *graph.Graph
-		term    uint64 // in which it drives; 0 when it doesn't
-		since   time.Duration
-		now     time.Duration
-		agents  map[string]*agent
-		runs    map[*graph.Task]*run
+		options     Options
+		graph       *graph.Graph
+		term        uint64 // in which it drives; 0 when it doesn't
+		leaderSince time.Duration
+		now         time.Duration
+		agents      map[string]*agent
+		runs        map[*graph.Task]*run
 		// ended are the ends that this turn commits.
-		ended endings
+		pendingEnds endBatch
 		// touched are the agents that the replicated state changed since it was followed.
-		touched map[string]bool
+		changedAgents map[string]bool
 		// pools are the agents by pool, in the order of their ids; nil when they are to
 		// be sorted anew. lists are the rooms of the latest pass, kept for their memory.
-		pools map[string][]*agent
+		agentsByPool map[string][]*agent
 		// sorted are all agents in the order of their ids; nil when they are to be sorted
 		// anew.
-		sorted []*agent
-		lists  map[string][]*room
+		sortedAgents []*agent
+		freeByPool   map[string][]*freeResources
 		// loads are what runs, kept as runs come and go.
-		loads map[loadKey]float64
+		runningCPU map[loadKey]float64
 		// searched is where the next search for an agent begins, where not all are
 		// looked at.
-		searched int
+		searchOffset int
 		// overlooked are the ids that were given up and reported again, with the
 		// incarnation that did.
-		overlooked map[string]uint64
+		ignoredReports map[string]uint64
 		// dirty tells that something to place or a place may have come up.
-		dirty     bool
-		placing   bool
-		nextTimed time.Duration
-		learned   learning
-		pressure  tails.Model
-		// ordinaryNeed is in thousandths of a processor, by pool.
-		ordinaryNeed map[string]float64
+		placementDirty   bool
+		placementPending bool
+		nextTimedCheck   time.Duration
+		estimates        estimates
+		tailModel        tails.Model
+		// ordinaryDemand is in thousandths of a processor, by pool.
+		ordinaryDemand map[string]float64
 		// ordinarySince is when ordinary work was first seen, by pool.
-		ordinarySince map[string]time.Duration
-		nextNeed      time.Duration
-		nextForget    time.Duration
-		nextSave      time.Duration // when what is learned is kept again
-		saved         *wire.Learned
-		nextLook      time.Duration
-		waitingHolds  int           // under way that wait for an end
-		nextSilence   time.Duration // when silent agents are looked for
-		notingSilence bool          // such a proposal is under way
-		// nextTend and nextPass are when agents and runs are looked after, and
+		ordinarySince       map[string]time.Duration
+		nextDemandDecay     time.Duration
+		nextCleanup         time.Duration
+		nextSave            time.Duration // when what is learned is kept again
+		savedEstimates      *wire.Learned
+		nextDemandUpdate    time.Duration
+		longPolls           int           // under way that wait for an end
+		nextUnreachableScan time.Duration // when silent agents are looked for
+		unreachablePending  bool          // such a proposal is under way
+		// nextReconcile and nextPass are when agents and runs are looked after, and
 		// tasks placed, at the earliest; passTook is what the last pass took.
-		nextTend, nextPass time.Duration
+		nextReconcile, nextPass time.Duration
 		// clearing is the agent on which room grows for a standing task.
-		clearing   map[*graph.Task]string
-		advice     map[*graph.Stage]*advice
-		advising   bool // a call is under way
-		nextAdvice time.Duration
+		reservations  map[*graph.Task]string
+		advice        map[*graph.Stage]*stageAdvice
+		advicePending bool // a call is under way
+		nextAdvice    time.Duration
 		// line is the order in which stages are served, fresh those that came since it
 		// was made.
-		line  line
-		fresh []*graph.Stage
+		queue      pendingQueue
+		newlyReady []*graph.Stage
 		// readySince is when each stage was first seen with tasks to place.
 		readySince map[*graph.Stage]time.Duration
 	}
 )
 
 const (
-	// timedInterval is how often work that is due by the time of day is looked
+	// timedCheckInterval is how often work that is due by the time of day is looked
 	// for.
-	timedInterval = 50 * time.Millisecond
-	// tendInterval is how often the agents and runs that wait for something are looked
+	timedCheckInterval = 50 * time.Millisecond
+	// reconcileInterval is how often the agents and runs that wait for something are looked
 	// after, beside those that something was just heard of.
-	tendInterval = 20 * time.Millisecond
-	// passShare is how many times a pass's own time lies between two passes, so
+	reconcileInterval = 20 * time.Millisecond
+	// passGapFactor is how many times a pass's own time lies between two passes, so
 	// that placing takes at most half of the processor however much waits.
-	passShare = 1
-	// passInterval is the least time between two passes: what comes together
+	passGapFactor = 1
+	// minPassInterval is the least time between two passes: what comes together
 	// is placed and committed together.
-	passInterval = 3 * time.Millisecond
+	minPassInterval = 3 * time.Millisecond
 )
 
 // New returns an engine that doesn't drive yet.
@@ -142,36 +142,36 @@
 	}
 	options.OtherRackFactor = max(options.OtherRackFactor, 1)
 	e := &Engine{options: options, graph: options.Graph}
-	e.graph.OnChange = func() { e.dirty = true }
+	e.graph.OnChange = func() { e.placementDirty = true }
 	e.graph.OnAgentChange = func(agent string) {
 		if e.term != 0 {
-			e.touched[agent] = true
+			e.changedAgents[agent] = true
 		}
 	}
 	e.graph.OnStageReady = func(s *graph.Stage) {
 		if e.term != 0 {
-			e.fresh = append(e.fresh, s)
+			e.newlyReady = append(e.newlyReady, s)
 		}
 	}
-	e.forget()
+	e.reset()
 	return e
 }
 
-func (e *Engine) forget() {
+func (e *Engine) reset() {
 	e.agents = map[string]*agent{}
 	e.runs = map[*graph.Task]*run{}
-	e.touched = map[string]bool{}
-	e.ended = endings{}
-	e.pools, e.sorted, e.lists = nil, nil, map[string][]*room{}
-	e.overlooked = map[string]uint64{}
-	e.loads = map[loadKey]float64{}
-	e.line, e.fresh = line{}, nil
+	e.changedAgents = map[string]bool{}
+	e.pendingEnds = endBatch{}
+	e.agentsByPool, e.sortedAgents, e.freeByPool = nil, nil, map[string][]*freeResources{}
+	e.ignoredReports = map[string]uint64{}
+	e.runningCPU = map[loadKey]float64{}
+	e.queue, e.newlyReady = pendingQueue{}, nil
 	e.readySince = map[*graph.Stage]time.Duration{}
-	e.clearing = map[*graph.Task]string{}
-	clear(e.learned.jobs)
-	e.advice, e.advising = map[*graph.Stage]*advice{}, false
-	e.placing, e.notingSilence, e.waitingHolds = false, false, 0
-	e.dirty = true
+	e.reservations = map[*graph.Task]string{}
+	clear(e.estimates.jobs)
+	e.advice, e.advicePending = map[*graph.Stage]*stageAdvice{}, false
+	e.placementPending, e.unreachablePending, e.longPolls = false, false, 0
+	e.placementDirty = true
 }
 
 // Turn does what has become due. Now is the boot clock.
@@ -182,24 +182,24 @@
 		if e.term != 0 {
 			e.options.Logger.Info("driving ends: leadership lost", "term", e.term)
 			e.term = 0
-			e.forget()
+			e.reset()
 		}
 		return
 	}
 	if term != e.term {
-		e.adopt(term)
+		e.startTerm(term)
 	}
-	e.followGraph()
+	e.syncState()
 	e.flushEnds()
 	// Without the right to order all would be sent in vain, again each turn.
 	if e.options.HoldsLeaderLease != nil && !e.options.HoldsLeaderLease(e.term) {
 		return
 	}
-	if now >= e.nextTend {
-		e.nextTend = now + tendInterval
-		e.tend()
-		e.tendSilence()
-		e.remember()
+	if now >= e.nextReconcile {
+		e.nextReconcile = now + reconcileInterval
+		e.reconcileAgents()
+		e.commitUnreachable()
+		e.saveEstimates()
 	}
 	e.place()
 }
@@ -207,10 +207,10 @@
 // Wake is how long from now the engine wants its next turn at the latest.
 func (e *Engine) NextTick() time.Duration {
 	if e.term == 0 {
-		return timedInterval
+		return timedCheckInterval
 	}
-	wake := e.nextTend
-	if e.dirty && !e.placing {
+	wake := e.nextReconcile
+	if e.placementDirty && !e.placementPending {
 		wake = min(wake, e.nextPass)
 	}
 	return max(wake-e.now, 0)
@@ -218,13 +218,13 @@
 
 // adopt begins to drive. Every run in the state may exist and what became of
 // it is unknown until its agent has answered under this leader's fence.
-func (e *Engine) adopt(term uint64) {
-	e.forget()
-	e.term, e.since = term, e.now
+func (e *Engine) startTerm(term uint64) {
+	e.reset()
+	e.term, e.leaderSince = term, e.now
 	for id := range e.graph.Agents() {
-		e.touched[id] = true
+		e.changedAgents[id] = true
 	}
-	e.recall()
+	e.restoreEstimates()
 	e.options.Logger.Info("driving begins", "term", term, "agents", len(e.graph.Agents()), "jobs", len(e.graph.Jobs()))
 }
 
@@ -235,7 +235,7 @@
 		if e.term != term {
 			return // the soft state that asked is gone
 		}
-		e.dirty = true
+		e.placementDirty = true
 		if done != nil {
 			done(res, err)
 		}
@@ -255,32 +255,32 @@
 		return // an order of an earlier term; its agent is asked anew
 	}
 	if a.Order.Kind == Poll && a.Order.Wait > 0 {
-		e.waitingHolds--
+		e.longPolls--
 	}
 	r := e.agents[a.Order.Agent.Id]
 	if r == nil {
 		return
 	}
-	r.heard()
+	r.scheduleReconcile()
 	if !e.sameIncarnation(r, a) {
 		a.Verdict = OtherIncarnation
 	}
 	if a.ClockKnown && a.Verdict != OtherIncarnation {
-		r.clock.note(a.Clock, now)
+		r.clock.update(a.Clock, now)
 	}
 	if a.Verdict == OtherIncarnation {
-		e.dropAgent(r, replaced, "another incarnation lives at its address")
+		e.dropAgent(r, superseded, "another incarnation lives at its address")
 		return
 	}
-	r.noteClosed(a)
+	r.recordClosedConnection(a)
 	switch a.Order.Kind {
 	case Poll:
-		e.holdAnswered(r, a)
+		e.handlePollAnswer(r, a)
 	case Start:
-		e.startAnswered(r, a)
+		e.handleStartAnswer(r, a)
 	case Stop:
-		e.stopAnswered(r, a)
+		e.handleStopAnswer(r, a)
 	case Throttle:
-		e.paceAnswered(r, a)
+		e.handleThrottleAnswer(r, a)
 	}
 }
--- a/internal/sched/drive/export_test.go
+++ b/internal/sched/drive/export_test.go
@@ -18,10 +18,10 @@
 	}
 	loads := map[loadKey]float64{}
 	for t := range e.runs {
-		loads[loadOf(t)] += float64(t.Stage.Step.CpuMillis)
+		loads[loadKeyOf(t)] += float64(t.Stage.Step.CpuMillis)
 	}
-	if !maps.Equal(loads, e.loads) {
-		return fmt.Errorf("running work is kept as %v; it is %v", e.loads, loads)
+	if !maps.Equal(loads, e.runningCPU) {
+		return fmt.Errorf("running work is kept as %v; it is %v", e.runningCPU, loads)
 	}
 	for id, at := range e.agents {
 		if err := e.checkAgent(at); err != nil {
@@ -33,7 +33,7 @@
 
 func (e *Engine) checkAgent(at *agent) error {
 	id := at.record.Id
-	if registered := e.graph.Agent(id); registered != nil && !e.touched[id] {
+	if registered := e.graph.Agent(id); registered != nil && !e.changedAgents[id] {
 		for t := range registered.Tasks {
 			if r := e.runs[t]; r == nil || r.agent != at || r.number != t.Run {
 				return fmt.Errorf("the run of task %s isn't followed", t.ID())
@@ -43,27 +43,27 @@
 			return fmt.Errorf("%d runs are followed of %d", len(at.runs), len(registered.Tasks))
 		}
 	}
-	if at.tendAt > e.now && !at.dropping && at.synced {
+	if at.reconcileAt > e.now && !at.dropping && at.synced {
 		for _, r := range at.runs {
-			if r.waits() && at.tendAt > e.now+tendInterval {
-				return fmt.Errorf("run %s waits, and isn't looked after until %v", r.id(), at.tendAt)
+			if r.hasPendingOrder() && at.reconcileAt > e.now+reconcileInterval {
+				return fmt.Errorf("run %s waits, and isn't looked after until %v", r.id(), at.reconcileAt)
 			}
 		}
 	}
-	if at.roomStale {
+	if at.freeStale {
 		return nil
 	}
-	kept := at.room
+	kept := at.free
 	fresh := *at
-	fresh.room = room{}
-	e.renewRoom(&fresh)
-	m := fresh.room
-	if kept.cpu != m.cpu || kept.memory != m.memory || kept.accel != m.accel || kept.ordinary != m.ordinary || kept.standing != m.standing ||
-		kept.suspects < m.suspects || kept.fresh < m.fresh || m.lastTry && !kept.lastTry {
+	fresh.free = freeResources{}
+	e.recomputeFree(&fresh)
+	m := fresh.free
+	if kept.cpuMillis != m.cpuMillis || kept.memoryMB != m.memoryMB || kept.accelerators != m.accelerators || kept.ordinaryMillis != m.ordinaryMillis || kept.standing != m.standing ||
+		kept.suspects < m.suspects || kept.unconfirmed < m.unconfirmed || m.finalAttempt && !kept.finalAttempt {
 		return fmt.Errorf("its room is kept as %+v; it is %+v", kept, m)
 	}
-	if !maps.Equal(kept.stages, m.stages) || !maps.Equal(kept.images, m.images) {
-		return fmt.Errorf("what is there is kept as %v and %v; it is %v and %v", kept.stages, kept.images, m.stages, m.images)
+	if !maps.Equal(kept.tasksByStage, m.tasksByStage) || !maps.Equal(kept.standingByImage, m.standingByImage) {
+		return fmt.Errorf("what is there is kept as %v and %v; it is %v and %v", kept.tasksByStage, kept.standingByImage, m.tasksByStage, m.standingByImage)
 	}
 	return nil
 }
--- a/internal/sched/drive/mechs.go
+++ b/internal/sched/drive/features.go
@@ -56,4 +56,4 @@
 }
 
 // on tells whether a mechanism is in force.
-func (e *Engine) on(m Feature) bool { return !e.options.Disabled[m] }
+func (e *Engine) enabled(m Feature) bool { return !e.options.Disabled[m] }
--- a/internal/sched/drive/gang.go
+++ b/internal/sched/drive/gang.go
@@ -12,7 +12,7 @@
 
 // placeGang places all members or none: some alone would wait for the others
 // in vain. Their runs bear one number.
-func (p *pass) placeGang(s *graph.Stage, rooms []*room) {
+func (p *pass) placeGang(s *graph.Stage, rooms []*freeResources) {
 	number := uint32(0)
 	for _, t := range s.Tasks {
 		if t.Agent != "" {
@@ -21,7 +21,7 @@
 		number = max(number, t.Run)
 	}
 	if s.Step.SameRack {
-		for _, rack := range racks(rooms) {
+		for _, rack := range groupByRack(rooms) {
 			if p.placeMembers(s, rack, number+1) {
 				return
 			}
@@ -30,8 +30,8 @@
 	p.placeMembers(s, rooms, number+1)
 }
 
-func racks(rooms []*room) [][]*room {
-	byRack := map[string][]*room{}
+func groupByRack(rooms []*freeResources) [][]*freeResources {
+	byRack := map[string][]*freeResources{}
 	var names []string
 	for _, m := range rooms {
 		rack := m.agent.record.Rack
@@ -41,20 +41,20 @@
 		byRack[rack] = append(byRack[rack], m)
 	}
 	sort.Strings(names)
-	list := make([][]*room, 0, len(names))
+	list := make([][]*freeResources, 0, len(names))
 	for _, name := range names {
 		list = append(list, byRack[name])
 	}
 	return list
 }
 
-func (p *pass) placeMembers(s *graph.Stage, rooms []*room, number uint32) bool {
-	trial := &pass{engine: p.engine, wall: p.wall}
-	copies := make([]*room, len(rooms))
+func (p *pass) placeMembers(s *graph.Stage, rooms []*freeResources, number uint32) bool {
+	trial := &pass{engine: p.engine, wallTime: p.wallTime}
+	copies := make([]*freeResources, len(rooms))
 	for i, m := range rooms {
 		c := *m
-		c.stages = map[*graph.Stage]int{s: m.stages[s]}
-		c.images, c.served = maps.Clone(m.images), slices.Clone(m.served)
+		c.tasksByStage = map[*graph.Stage]int{s: m.tasksByStage[s]}
+		c.standingByImage, c.latencyTasks = maps.Clone(m.standingByImage), slices.Clone(m.latencyTasks)
 		copies[i] = &c
 	}
 	f := trial.newSearch(s, copies)
@@ -63,14 +63,14 @@
 		if m == nil {
 			return false
 		}
-		trial.take(t, m, number)
-		f.taken(m)
+		trial.assume(t, m, number)
+		f.updateRating(m)
 	}
 	for _, placement := range trial.placed {
 		for _, m := range rooms {
 			if m.agent.record.Id == placement.Agent {
-				m.take(s.Tasks[placement.Id.Index])
-				p.spare[p.engine.poolOf(s.Job)].take(s)
+				m.assume(s.Tasks[placement.Id.Index])
+				p.summaries[p.engine.poolOf(s.Job)].assume(s)
 			}
 		}
 	}
--- a/internal/sched/drive/lost.go
+++ b/internal/sched/drive/lost.go
@@ -16,28 +16,28 @@
 const (
 	// maxLostListed bounds the runs that one log line names; each takes about 40 bytes.
 	maxLostListed = 40
-	// startTime is for how long an agent has told that a run is there while it counts as
+	// startWindow is for how long an agent has told that a run is there while it counts as
 	// just started. Where nothing ends, runs are listed each 1.5 s, so that a run which
 	// was listed twice has started.
-	startTime = time.Second
-	// soundAfter is how long an agent has to have told that a run is there before its
-	// end isn't put down to the run at all: far more than startTime, far less than the
+	startWindow = time.Second
+	// crashBlameWindow is how long an agent has to have told that a run is there before its
+	// end isn't put down to the run at all: far more than startWindow, far less than the
 	// days that agents live. Standing tasks, which may see many agents go, aren't blamed
 	// for them.
-	soundAfter = 10 * time.Second
+	crashBlameWindow = 10 * time.Second
 )
 
 // departure tells on what ground an agent is taken for gone.
-type departure int
+type dropCause int
 
 const (
-	// cutOff: it can't be reached, and its leases have run out. It may live on.
-	cutOff departure = iota
+	// unreachable: it can't be reached, and its leases have run out. It may live on.
+	unreachable dropCause = iota
 	// replaced: its successor is at its address, so that it has surely ended.
-	replaced
+	superseded
 )
 
-// endLost ends the runs of an agent that is given up, before it is dropped, where
+// endLostRuns ends the runs of an agent that is given up, before it is dropped, where
 // there is more to keep of them than that they are gone: the latest checkpoint, and
 // that the agent may have crashed under them. An agent that said that it leaves has
 // ended as it said; one that fell silent without closing its connections was cut off, or
@@ -46,12 +46,12 @@
 // that this leader never heard nothing is known, and it counts. For a task that was seen
 // to end an agent those that fell silent under it count too: connections may go silent
 // just before.
-func (e *Engine) endLost(at *agent, why departure) {
-	crashed := why == replaced && !at.record.Leaving
-	seen := at.closed || !at.synced
+func (e *Engine) endLostRuns(at *agent, why dropCause) {
+	crashed := why == superseded && !at.record.Leaving
+	seen := at.connectionClosed || !at.synced
 	var ends []*wire.RunEnd
-	for _, r := range at.ordered {
-		if r.ending {
+	for _, r := range at.sortedRuns {
+		if r.endPending {
 			continue
 		}
 		outcome := wire.RunOutcome_RUN_OUTCOME_LOST
@@ -61,7 +61,7 @@
 		if outcome == wire.RunOutcome_RUN_OUTCOME_LOST && r.checkpoint == "" {
 			continue // that it is gone is told by dropping the agent
 		}
-		r.ending = true
+		r.endPending = true
 		ends = append(ends, &wire.RunEnd{Id: r.id(), Agent: at.record.Id, Outcome: outcome, Checkpoint: r.checkpoint})
 	}
 	if len(ends) > 0 {
@@ -69,13 +69,13 @@
 	}
 }
 
-// giveUpRuns ends all runs on a silent agent whose lease has run out. The agent stays
+// abandonRuns ends all runs on a silent agent whose lease has run out. The agent stays
 // registered: one that was cut off is used again once it answers.
-func (e *Engine) giveUpRuns(at *agent) {
+func (e *Engine) abandonRuns(at *agent) {
 	var ends []*wire.RunEnd
 	var lost []*run
-	for _, r := range at.ordered {
-		if r.ending {
+	for _, r := range at.sortedRuns {
+		if r.endPending {
 			continue
 		}
 		lost = append(lost, r)
@@ -87,13 +87,13 @@
 	agentsDropped.Inc()
 	runsLost.Add(len(lost))
 	e.options.Logger.Info("agent given up", "agent", at.record.Id, "address", at.record.Address, "reason", "silent until its lease had surely run out",
-		"runs", len(lost), "silent", e.now-at.answered, "lost", lostText(at))
+		"runs", len(lost), "silent", e.now-at.answeredAt, "lost", formatLost(at))
 	for _, r := range lost {
-		r.ending = true
+		r.endPending = true
 	}
 	e.commitEnds(ends, func(ok bool) {
 		for _, r := range lost {
-			r.ending = ok
+			r.endPending = ok
 		}
 	})
 }
@@ -103,29 +103,29 @@
 // than one that the agent took. A task that ends agents before they answer is still
 // given up, two agents later.
 func (r *run) crashOutcome() wire.RunOutcome {
-	neverSent := r.sends == 0 && r.phase != phaseUnknown
+	neverSent := r.startsSent == 0 && r.phase != phaseUnknown
 	switch {
-	case r.seenAt == 0 && neverSent, r.seenFor() >= soundAfter:
+	case r.firstConfirmedAt == 0 && neverSent, r.confirmedFor() >= crashBlameWindow:
 		return wire.RunOutcome_RUN_OUTCOME_LOST
-	case r.seenAt != 0 && r.seenFor() < startTime:
+	case r.firstConfirmedAt != 0 && r.confirmedFor() < startWindow:
 		return wire.RunOutcome_RUN_OUTCOME_CRASHED_AT_START
 	default:
 		return wire.RunOutcome_RUN_OUTCOME_CRASHED
 	}
 }
 
-// seenFor is for how long the agent has told that the run is there; 0 for one that it
+// confirmedFor is for how long the agent has told that the run is there; 0 for one that it
 // never told of, or but once.
-func (r *run) seenFor() time.Duration { return r.confirmedAt - r.seenAt }
+func (r *run) confirmedFor() time.Duration { return r.confirmedAt - r.firstConfirmedAt }
 
-// lostText lists the runs on an agent that is given up, those seen for the shortest
+// formatLost lists the runs on an agent that is given up, those seen for the shortest
 // time first, each as TASK#RUN:SEEN:CRASHES with the crashes before this one. A task
 // that ends its agents stands near the front of each of these lines; one that was only
 // there is found in one of them.
-func lostText(at *agent) string {
-	runs := slices.Clone(at.ordered)
+func formatLost(at *agent) string {
+	runs := slices.Clone(at.sortedRuns)
 	slices.SortStableFunc(runs, func(a, b *run) int {
-		return cmp.Or(cmp.Compare(a.seenFor(), b.seenFor()), cmp.Compare(b.firstAt, a.firstAt))
+		return cmp.Or(cmp.Compare(a.confirmedFor(), b.confirmedFor()), cmp.Compare(b.trackedAt, a.trackedAt))
 	})
 	var text strings.Builder
 	for i, r := range runs {
@@ -137,7 +137,7 @@
 			text.WriteByte(' ')
 		}
 		id := r.id()
-		fmt.Fprintf(&text, "%s.%d.%d.%d#%d:%dms:%d", id.Job, id.Occurrence, id.Step, id.Index, id.Run, r.seenFor().Milliseconds(), r.task.Crashes)
+		fmt.Fprintf(&text, "%s.%d.%d.%d#%d:%dms:%d", id.Job, id.Occurrence, id.Step, id.Index, id.Run, r.confirmedFor().Milliseconds(), r.task.Crashes)
 	}
 	return text.String()
 }
--- /dev/null
+++ b/internal/sched/drive/metrics.go
@@ -0,0 +1,49 @@
+// This file defines the counters of what the leader orders and learns.
+
+package drive
+
+import (
+	"strings"
+
+	"github.com/VictoriaMetrics/metrics"
+
+	"sycamoredeck.example/internal/schema/wire"
+)
+
+var (
+	runsPlaced         = metrics.NewCounter("sycamoredeck_runs_placed_total")
+	runsEnded          = metrics.NewCounter(`sycamoredeck_runs_ended_total{outcome="all"}`)
+	agentsDropped      = metrics.NewCounter("sycamoredeck_agents_given_up_total")
+	runsLost           = metrics.NewCounter("sycamoredeck_runs_lost_with_agents_total")
+	pollsFailed        = metrics.NewCounter("sycamoredeck_agent_holds_failed_total")
+	runsEvicted        = metrics.NewCounter("sycamoredeck_runs_moved_away_total")
+	opportunisticHalts = metrics.NewCounter("sycamoredeck_opportunistic_halts_total")
+	reportsIgnored     = metrics.NewCounter("sycamoredeck_agent_reports_ignored_total")
+	// staleReports counts reports under ids that were given up, endsSkipped ends that
+	// were left out by their number although nothing is known of them.
+	staleReports = metrics.NewCounter("sycamoredeck_agent_reports_overlooked_total")
+	endsSkipped  = metrics.NewCounter("sycamoredeck_run_ends_skipped_total")
+	runsStalled  = metrics.NewCounter("sycamoredeck_runs_stalled_total")
+	readyToStart = metrics.NewHistogram("sycamoredeck_task_wait_seconds")
+)
+
+// outcomeNames name outcomes for logs and counters, outcomeCounters count them. They are
+// made once, since thousands of runs end in a second.
+var (
+	outcomeNames    = map[wire.RunOutcome]string{}
+	outcomeCounters = map[wire.RunOutcome]*metrics.Counter{}
+)
+
+func init() {
+	for number, name := range wire.RunOutcome_name {
+		name = strings.ToLower(strings.TrimPrefix(name, "RUN_OUTCOME_"))
+		outcomeNames[wire.RunOutcome(number)] = name
+		outcomeCounters[wire.RunOutcome(number)] = metrics.GetOrCreateCounter(`sycamoredeck_runs_ended_total{outcome="` + name + `"}`)
+	}
+}
+
+// countEnd counts a run's end, in all and by its outcome.
+func countEnd(outcome wire.RunOutcome) {
+	runsEnded.Inc()
+	outcomeCounters[outcome].Inc()
+}
--- a/internal/sched/drive/recall.go
+++ b/internal/sched/drive/persist.go
@@ -18,24 +18,24 @@
 // recall takes over what earlier leaders learned. Without it each change of leader
 // costs what the first seconds of a day cost: all pairs of images are tried again,
 // those that harm too.
-func (e *Engine) recall() {
-	e.saved = e.graph.Estimates()
+func (e *Engine) restoreEstimates() {
+	e.savedEstimates = e.graph.Estimates()
 	e.nextSave = e.now + saveInterval
-	if e.on(PersistEstimates) && e.saved != nil {
-		e.pressure = tails.Restore(e.saved, e.now)
+	if e.enabled(PersistEstimates) && e.savedEstimates != nil {
+		e.tailModel = tails.Restore(e.savedEstimates, e.now)
 	}
 }
 
 // remember has what is learned committed now and then.
-func (e *Engine) remember() {
-	if e.now < e.nextSave || !e.on(PersistEstimates) {
+func (e *Engine) saveEstimates() {
+	if e.now < e.nextSave || !e.enabled(PersistEstimates) {
 		return
 	}
 	e.nextSave = e.now + saveInterval
-	learned := e.pressure.Save()
-	if len(learned.Pairs) == 0 || proto.Equal(learned, e.saved) {
+	learned := e.tailModel.Save()
+	if len(learned.Pairs) == 0 || proto.Equal(learned, e.savedEstimates) {
 		return
 	}
-	e.saved = learned
+	e.savedEstimates = learned
 	e.propose(&wire.WorkCommand{Body: &wire.WorkCommand_Learned{Learned: learned}}, nil)
 }
--- a/internal/sched/drive/register.go
+++ b/internal/sched/drive/registration.go
@@ -13,17 +13,17 @@
 )
 
 var (
-	// errIncarnationUntold says that a report of an agent that tells its incarnation
+	// errIncarnationMissing says that a report of an agent that tells its incarnation
 	// doesn't: a replica of an earlier version passed it on without. The agent tells
 	// another one.
-	errIncarnationUntold = errors.New("drive: the report doesn't tell the agent's incarnation")
+	errIncarnationMissing = errors.New("drive: the report doesn't tell the agent's incarnation")
 	// errIncarnationUnknown says that an agent was registered by an earlier version, which
 	// kept no incarnation, and hasn't answered this leader yet.
 	errIncarnationUnknown = errors.New("drive: which incarnation is registered isn't known yet")
 )
 
-// nameOf is the id that an agent goes by itself.
-func nameOf(r *wire.Agent) string {
+// agentName is the id that an agent goes by itself.
+func agentName(r *wire.Agent) string {
 	if r.Name != "" {
 		return r.Name
 	}
@@ -44,26 +44,26 @@
 	first := e.graph.Agent(told.Id)
 	switch {
 	case told.Incarnation == 0 && first != nil && first.Record.Incarnation != 0:
-		return nil, errIncarnationUntold
+		return nil, errIncarnationMissing
 	case told.Incarnation == 0 && first != nil:
 		return told, nil
 	case first != nil && first.Record.Incarnation == told.Incarnation:
 		return told, nil
 	case first != nil && first.Record.Incarnation == 0:
-		same, err := e.answersAs(told)
+		same, err := e.isRegisteredProcess(told)
 		if err != nil || same {
 			return told, err
 		}
 	}
-	if id := laterID(told, 1); e.graph.Agent(id) != nil {
+	if id := successorID(told, 1); e.graph.Agent(id) != nil {
 		return withID(told, id), nil
 	}
 	return e.newRegistration(told)
 }
 
-// answersAs tells whether the process that is registered without its incarnation has
+// isRegisteredProcess tells whether the process that is registered without its incarnation has
 // told this leader the one of a report.
-func (e *Engine) answersAs(told *wire.Agent) (bool, error) {
+func (e *Engine) isRegisteredProcess(told *wire.Agent) (bool, error) {
 	at := e.agents[told.Id]
 	if at == nil || !at.synced {
 		return false, errIncarnationUnknown
@@ -79,30 +79,32 @@
 func (e *Engine) newRegistration(told *wire.Agent) (*wire.Agent, error) {
 	for _, other := range e.graph.Agents() {
 		switch r := other.Record; {
-		case nameOf(r) != told.Id || r.Incarnation < told.Incarnation:
+		case agentName(r) != told.Id || r.Incarnation < told.Incarnation:
 		case told.Incarnation == 0:
-			return nil, errIncarnationUntold
+			return nil, errIncarnationMissing
 		case r.Incarnation == told.Incarnation:
 			return withID(told, r.Id), nil
 		default:
 			return nil, nil
 		}
 	}
-	if told.Incarnation == 0 || e.free(told.Id) {
+	if told.Incarnation == 0 || e.idUnused(told.Id) {
 		return told, nil
 	}
 	for n := 1; ; n++ {
-		if id := laterID(told, n); e.free(id) {
+		if id := successorID(told, n); e.idUnused(id) {
 			return withID(told, id), nil
 		}
 	}
 }
 
-func (e *Engine) free(id string) bool { return e.graph.Agent(id) == nil && !e.graph.AgentRemoved(id) }
+func (e *Engine) idUnused(id string) bool {
+	return e.graph.Agent(id) == nil && !e.graph.AgentRemoved(id)
+}
 
-// laterID is the id of a process whose agent's own id is taken: the first one, or a
+// successorID is the id of a process whose agent's own id is taken: the first one, or a
 // further one for a process that was given up and came back.
-func laterID(told *wire.Agent, n int) string {
+func successorID(told *wire.Agent, n int) string {
 	if n > 1 {
 		return fmt.Sprintf("%s@%d.%d", told.Id, told.Incarnation, n)
 	}
@@ -120,7 +122,7 @@
 
 // precedes tells whether another process is a later one of the same agent.
 func (r *agent) precedes(other *agent) bool {
-	return nameOf(r.record) == nameOf(other.record) && r.incarnation < other.incarnation
+	return agentName(r.record) == agentName(other.record) && r.incarnation < other.incarnation
 }
 
 // sameIncarnation tells whether an answer may be of the process that it was asked of. The
@@ -132,7 +134,7 @@
 	if at.incarnation != 0 || at.synced {
 		return false
 	}
-	later := laterID(&wire.Agent{Id: at.record.Id, Incarnation: a.Incarnation}, 1)
+	later := successorID(&wire.Agent{Id: at.record.Id, Incarnation: a.Incarnation}, 1)
 	if e.graph.Agent(later) != nil {
 		return false // the process that answered is registered by itself
 	}
@@ -140,11 +142,11 @@
 	return true
 }
 
-// reportedGone takes the word that an agent has ended, which doesn't tell which of its
+// handleGone takes the word that an agent has ended, which doesn't tell which of its
 // processes. It is the one that had said it leaves; where there is none, it is the late
 // word of an earlier process, and what the present one runs must not be given to others.
-func (e *Engine) reportedGone(told *wire.Agent, done func(error)) {
-	gone := e.processGone(told.Id)
+func (e *Engine) handleGone(told *wire.Agent, done func(error)) {
+	gone := e.goneProcess(told.Id)
 	if gone == nil {
 		done(nil)
 		return
@@ -153,13 +155,13 @@
 	e.options.Logger.Info("agent left", "agent", gone.Record.Id, "incarnation", gone.Record.Incarnation)
 }
 
-// processGone is the process that the word is taken to be of: the earliest that leaves,
+// goneProcess is the process that the word is taken to be of: the earliest that leaves,
 // or the one that tells no incarnation, which never shares its id.
-func (e *Engine) processGone(name string) *graph.Agent {
+func (e *Engine) goneProcess(name string) *graph.Agent {
 	var gone *graph.Agent
 	for _, other := range e.graph.Agents() {
 		switch r := other.Record; {
-		case nameOf(r) != name:
+		case agentName(r) != name:
 		case r.Incarnation == 0:
 			return other
 		case r.Leaving && (gone == nil || r.Incarnation < gone.Record.Incarnation):
--- a/internal/sched/drive/report.go
+++ b/internal/sched/drive/report.go
@@ -26,7 +26,7 @@
 		return
 	}
 	if report.Gone {
-		e.reportedGone(report.Agent, done)
+		e.handleGone(report.Agent, done)
 		return
 	}
 	record, err := e.registration(report.Agent)
@@ -35,12 +35,12 @@
 		return
 	}
 	if record == nil || e.graph.AgentRemoved(record.Id) {
-		e.noteOverlooked(report.Agent)
+		e.logStaleReport(report.Agent)
 		done(nil) // sent before it was given up; there is nothing to learn
 		return
 	}
 	known := e.graph.Agent(record.Id)
-	if !e.names(known, record) {
+	if !e.registrable(known, record) {
 		reportsIgnored.Inc()
 		done(nil)
 		return
@@ -53,11 +53,11 @@
 		}
 		r.reportSequence = max(r.reportSequence, report.Sequence)
 		if record.Leaving && report.Remaining != nil {
-			r.leaveBy = now + report.Remaining.AsDuration()
+			r.leavesAt = now + report.Remaining.AsDuration()
 		}
 	}
 	if known != nil && sameAgent(known.Record, record) {
-		e.noteReported(record.Id)
+		e.markReported(record.Id)
 		done(nil)
 		return
 	}
@@ -65,26 +65,26 @@
 		"failure_domain", record.FailureDomain, "leaving", record.Leaving, "incarnation", record.Incarnation, "new", known == nil)
 	e.commitReport(&wire.WorkCommand{Body: &wire.WorkCommand_PutAgent{PutAgent: record}}, func(err error) {
 		if err == nil {
-			e.noteReported(record.Id)
+			e.markReported(record.Id)
 		}
 		done(err)
 	})
 }
 
-// noteOverlooked logs the first heartbeat of an incarnation that isn't to be used: it
+// logStaleReport logs the first heartbeat of an incarnation that isn't to be used: it
 // was given up, or a later one is known. One is sent late; more of them are an agent that
 // lives and isn't used.
-func (e *Engine) noteOverlooked(record *wire.Agent) {
-	reportsOverlooked.Inc()
-	if known, logged := e.overlooked[record.Id]; logged && known == record.Incarnation {
+func (e *Engine) logStaleReport(record *wire.Agent) {
+	staleReports.Inc()
+	if known, logged := e.ignoredReports[record.Id]; logged && known == record.Incarnation {
 		return
 	}
-	e.overlooked[record.Id] = record.Incarnation
+	e.ignoredReports[record.Id] = record.Incarnation
 	e.options.Logger.Info("report of an incarnation that was given up", "agent", record.Id, "address", record.Address, "incarnation", record.Incarnation)
 }
 
-// noteReported notes that the state holds what an agent said to this leader.
-func (e *Engine) noteReported(id string) {
+// markReported notes that the state holds what an agent said to this leader.
+func (e *Engine) markReported(id string) {
 	if at := e.agents[id]; at != nil {
 		at.reported = true
 	}
@@ -109,7 +109,7 @@
 // that no catalog has is taken once a catalog has it, by a later heartbeat:
 // whoever writes heartbeats could else fill the state and the log with agents
 // that nothing runs on. An incarnation keeps its address and pool.
-func (e *Engine) names(known *graph.Agent, told *wire.Agent) bool {
+func (e *Engine) registrable(known *graph.Agent, told *wire.Agent) bool {
 	if known == nil {
 		return e.graph.Pool(told.Pool) != nil
 	}
@@ -126,7 +126,7 @@
 
 func (e *Engine) commitReport(command *wire.WorkCommand, done func(error)) {
 	e.options.Propose(&wire.Command{Body: &wire.Command_Work{Work: command}}, func(res state.Result, err error) {
-		e.dirty = true
+		e.placementDirty = true
 		if err == nil && errors.Is(res.Err, graph.ErrIncarnationMismatch) {
 			err = res.Err // it is to be told again, when the first one is known
 		}
--- a/internal/sched/drive/run.go
+++ b/internal/sched/drive/run.go
@@ -16,8 +16,8 @@
 const (
 	// phaseUnknown: an earlier leader may have ordered it.
 	phaseUnknown phase = iota
-	// phaseOrdered: a start is on its way.
-	phaseOrdered
+	// phaseStarting: a start is on its way.
+	phaseStarting
 	// phaseUnresolved: a start had no answer and may yet be carried out.
 	phaseUnresolved
 	// phaseRunning: the agent said that it is there.
@@ -28,16 +28,16 @@
 )
 
 const (
-	fullPace = 100
-	// unknownPace is that of a run which an earlier leader may have slowed.
-	unknownPace = -1
-	// startRetry is the pause before a start without an answer is sent again.
-	startRetry = 100 * time.Millisecond
-	// stopRetry is the pause before a stop without an effect is sent again;
+	fullPercent = 100
+	// unknownPercent is that of a run which an earlier leader may have slowed.
+	unknownPercent = -1
+	// startRetryInterval is the pause before a start without an answer is sent again.
+	startRetryInterval = 100 * time.Millisecond
+	// stopRetryInterval is the pause before a stop without an effect is sent again;
 	// more than the agent's answer takes, less than its grace.
-	stopRetry = 500 * time.Millisecond
-	// paceRetry is the pause before a pace that wasn't taken is ordered again.
-	paceRetry = 300 * time.Millisecond
+	stopRetryInterval = 500 * time.Millisecond
+	// throttleRetryInterval is the pause before a pace that wasn't taken is ordered again.
+	throttleRetryInterval = 300 * time.Millisecond
 	// leaveMargin is how long before an agent leaves its checkpointable work is
 	// stopped, beside the time that a stop takes.
 	leaveMargin = 400 * time.Millisecond
@@ -51,47 +51,47 @@
 	phase  phase
 	// sends counts the starts sent by this leader, answered those that had an
 	// answer. While they differ, a start may yet arrive.
-	sends, answers int
-	nextStart      time.Duration
-	firstAt        time.Duration // when this leader first knew it
-	startedAt      time.Duration // when it was first known to run
-	closedAt       time.Duration // when it was closed
-	confirmedAt    time.Duration // when the agent last said that it is there
-	seenAt         time.Duration // when it first said so; 0 before
+	startsSent, startsAnswered int
+	nextStart                  time.Duration
+	trackedAt                  time.Duration // when this leader first knew it
+	startedAt                  time.Duration // when it was first known to run
+	closedAt                   time.Duration // when it was closed
+	confirmedAt                time.Duration // when the agent last said that it is there
+	firstConfirmedAt           time.Duration // when it first said so; 0 before
 
-	stopReason string
-	stopping   bool // a stop is on its way
-	nextStop   time.Duration
+	stopReason  string
+	stopPending bool // a stop is on its way
+	nextStop    time.Duration
 
-	checkpoint string // the latest that the agent told
-	percent    int
-	progressAt time.Duration
-	usage      int
-	usageAt    time.Duration
-	pace       int
-	wantedPace int
-	pacing     bool
-	nextPace   time.Duration
-	pacedAt    time.Duration // when the pace last changed
-	// earlierPace is what the pace was before that.
-	earlierPace int
-	own         tails.Baseline // load of a standing run
-	// peak is what highest told at peakAt, by the reading of peakOf.
-	peak           float64
-	peakOf, peakAt time.Duration
+	checkpoint      string // the latest that the agent told
+	progressPercent int
+	progressAt      time.Duration
+	usage           int
+	usageAt         time.Duration
+	cpuPercent      int
+	targetPercent   int
+	throttlePending bool
+	nextThrottle    time.Duration
+	throttledAt     time.Duration // when the pace last changed
+	// previousPercent is what the pace was before that.
+	previousPercent int
+	baseline        tails.Baseline // load of a standing run
+	// peak is what highest told at peakAt, by the reading of peakReadingAt.
+	peakBaseline          float64
+	peakReadingAt, peakAt time.Duration
 	// listedAt is when the agent last listed a run of the task, running or ended.
-	listedAt  time.Duration
-	overSince time.Duration // since when its tail is over its target; 0 when it isn't
-	ending    bool          // its end is being committed
+	listedAt        time.Duration
+	overTargetSince time.Duration // since when its tail is over its target; 0 when it isn't
+	endPending      bool          // its end is being committed
 }
 
-func (r *run) seenRunning(now time.Duration, s *RunStatus) {
+func (r *run) recordStatus(now time.Duration, s *RunStatus) {
 	if r.phase != phaseRunning {
 		r.phase = phaseRunning
 		r.startedAt, r.progressAt = now, now
 	}
-	if s.ProgressPercent != r.percent {
-		r.percent, r.progressAt = s.ProgressPercent, now
+	if s.ProgressPercent != r.progressPercent {
+		r.progressPercent, r.progressAt = s.ProgressPercent, now
 	}
 	if s.Checkpoint != "" {
 		r.checkpoint = s.Checkpoint
@@ -103,76 +103,76 @@
 // confirm notes that the agent said that the run is there.
 func (r *run) confirm(now time.Duration) {
 	r.confirmedAt = now
-	if r.seenAt == 0 {
-		r.seenAt = now
+	if r.firstConfirmedAt == 0 {
+		r.firstConfirmedAt = now
 	}
 }
 
-// wantsStop tells why a run should be stopped; empty when it shouldn't.
-func (e *Engine) wantsStop(r *run) string {
+// reasonToStop tells why a run should be stopped; empty when it shouldn't.
+func (e *Engine) reasonToStop(r *run) string {
 	j := r.task.Stage.Job
 	switch {
 	case j.Ended():
 		return "its job has ended"
 	case r.task.Done:
 		return "its task is done"
-	case r.agent.record.Leaving && e.shouldLeave(r):
+	case r.agent.record.Leaving && e.shouldMigrate(r):
 		return "its agent is leaving"
 	default:
 		return r.stopReason
 	}
 }
 
-// shouldLeave tells whether a run on a leaving agent should be moved now.
+// shouldMigrate tells whether a run on a leaving agent should be moved now.
 // Standing work moves at once, since it would be cut off anyway; other work
 // only when it could save its progress and can't finish.
-func (e *Engine) shouldLeave(r *run) bool {
+func (e *Engine) shouldMigrate(r *run) bool {
 	if r.task.Stage.Standing() {
 		return true
 	}
-	if !r.task.Stage.Step.Checkpointable || r.agent.leaveBy == 0 {
+	if !r.task.Stage.Step.Checkpointable || r.agent.leavesAt == 0 {
 		return false
 	}
-	return e.now > r.agent.leaveBy-e.options.StopGrace-leaveMargin
+	return e.now > r.agent.leavesAt-e.options.StopGrace-leaveMargin
 }
 
-// tendRun sends what is due about one run.
-func (e *Engine) tendRun(r *run) {
-	if !r.agent.synced || r.agent.dropping || r.ending {
+// reconcileRun sends what is due about one run.
+func (e *Engine) reconcileRun(r *run) {
+	if !r.agent.synced || r.agent.dropping || r.endPending {
 		return
 	}
-	if reason := e.wantsStop(r); reason != "" {
-		e.tendStop(r, reason)
+	if reason := e.reasonToStop(r); reason != "" {
+		e.reconcileStop(r, reason)
 		// It works on until it has stopped, which takes up to the grace.
-		if r.phase == phaseRunning && r.wantedPace == 0 {
-			e.tendPace(r)
+		if r.phase == phaseRunning && r.targetPercent == 0 {
+			e.reconcileThrottle(r)
 		}
 		return
 	}
 	switch r.phase {
 	case phaseUnresolved:
 		switch {
-		case r.agent.failed > 0 && r.sends == r.answers:
-			e.settle(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, "its agent fell silent before the start had left")
-		case e.now >= r.nextStart && r.agent.mayBeGranted():
+		case r.agent.failedPolls > 0 && r.startsSent == r.startsAnswered:
+			e.resolve(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, "its agent fell silent before the start had left")
+		case e.now >= r.nextStart && r.agent.leaseRenewable():
 			// While holds fail too, another start would fare no better.
 			e.start(r)
 		}
 	case phaseRunning:
-		e.tendProgress(r)
-		e.tendPace(r)
+		e.checkProgress(r)
+		e.reconcileThrottle(r)
 	}
 }
 
-func (e *Engine) tendStop(r *run, reason string) {
-	if r.stopping || e.now < r.nextStop || r.phase == phaseClosed {
+func (e *Engine) reconcileStop(r *run, reason string) {
+	if r.stopPending || e.now < r.nextStop || r.phase == phaseClosed {
 		return
 	}
-	if r.phase == phaseUnknown && r.sends == 0 && !r.agent.synced {
+	if r.phase == phaseUnknown && r.startsSent == 0 && !r.agent.synced {
 		return
 	}
 	e.options.Logger.Debug("run stopped", "job", r.task.Stage.Job.ID, "step", r.task.Stage.Index, "index", r.task.Index, "run", r.number, "agent", r.agent.record.Id, "reason", reason)
-	r.stopping = true
+	r.stopPending = true
 	e.send(r.agent, Order{Kind: Stop, Run: r.id()})
 }
 
@@ -185,56 +185,56 @@
 // start sends the order, for the first time or again.
 func (e *Engine) start(r *run) {
 	if e.drained(r.agent) {
-		e.giveUpStart(r, "its agent's failure domain is drained")
+		e.abandonStart(r, "its agent's failure domain is drained")
 		return
 	}
-	if !r.agent.mayBeGranted() || !e.roomKnown(r.agent) {
+	if !r.agent.leaseRenewable() || !e.capacityKnown(r.agent) {
 		// Its deadline would prolong the lease of an agent that may be gone; and what isn't
 		// known to fit waits.
-		r.phase, r.nextStart = phaseUnresolved, e.now+startRetry
+		r.phase, r.nextStart = phaseUnresolved, e.now+startRetryInterval
 		return
 	}
-	deadline := r.agent.clock.grant(e.now, e.options.Lease)
+	deadline := r.agent.clock.grantLease(e.now, e.options.Lease)
 	if deadline == 0 {
-		r.phase, r.nextStart = phaseUnresolved, e.now+startRetry
+		r.phase, r.nextStart = phaseUnresolved, e.now+startRetryInterval
 		return
 	}
-	if !e.guarded(r.agent) && e.roomOf(r.agent).overdrawn() {
-		e.giveUpStart(r, "its agent's room has shrunk")
+	if !e.enforcesCapacity(r.agent) && e.freeResourcesOf(r.agent).overcommitted() {
+		e.abandonStart(r, "its agent's room has shrunk")
 		return
 	}
 	ticket := ""
-	if e.policyOf(r.task.Stage) != nil {
+	if e.advicePolicyOf(r.task.Stage) != nil {
 		var holds bool
 		if ticket, holds = e.ticketFor(r.task.Stage, r.agent.record.Id); !holds {
 			// It has run out, or isn't known to this leader.
-			e.giveUpStart(r, "no ticket that holds")
+			e.abandonStart(r, "no ticket that holds")
 			return
 		}
 	}
-	if r.pace == unknownPace {
-		r.pace = fullPace
+	if r.cpuPercent == unknownPercent {
+		r.cpuPercent = fullPercent
 	}
-	r.phase = phaseOrdered
-	r.sends++
+	r.phase = phaseStarting
+	r.startsSent++
 	e.send(r.agent, Order{
 		Kind: Start, Run: r.id(), Payload: r.task.Stage.Job.Spec.Payload,
 		Checkpoint: r.task.Checkpoint, Deadline: deadline, Ticket: ticket,
 	})
 }
 
-// giveUpStart gives up a run that isn't to be started any more: at once if every start
+// abandonStart gives up a run that isn't to be started any more: at once if every start
 // that was sent was refused, else after a stop has closed it.
-func (e *Engine) giveUpStart(r *run, reason string) {
-	if r.sends == r.answers {
-		e.settle(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, reason)
+func (e *Engine) abandonStart(r *run, reason string) {
+	if r.startsSent == r.startsAnswered {
+		e.resolve(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, reason)
 		return
 	}
-	r.phase, r.nextStart = phaseUnresolved, e.now+startRetry
+	r.phase, r.nextStart = phaseUnresolved, e.now+startRetryInterval
 	r.stopReason = reason
 }
 
-func (e *Engine) runOf(r *agent, id *wire.RunId) *run {
+func (e *Engine) findRun(r *agent, id *wire.RunId) *run {
 	t := e.graph.FindTask(id)
 	known := e.runs[t]
 	if t == nil || known == nil || known.agent != r || known.number != id.Run {
@@ -243,61 +243,61 @@
 	return known
 }
 
-func (e *Engine) startAnswered(at *agent, a Answer) {
-	r := e.runOf(at, a.Order.Run)
+func (e *Engine) handleStartAnswer(at *agent, a Answer) {
+	r := e.findRun(at, a.Order.Run)
 	if r == nil {
 		return
 	}
 	if a.Verdict != NoAnswer {
-		r.answers++
+		r.startsAnswered++
 	}
-	if r.phase == phaseRunning || r.phase == phaseClosed || r.ending {
+	if r.phase == phaseRunning || r.phase == phaseClosed || r.endPending {
 		return
 	}
 	if a.Verdict != Accepted {
 		e.options.Logger.Info("start not taken", "job", a.Order.Run.Job, "step", a.Order.Run.Step, "index", a.Order.Run.Index,
-			"run", r.number, "agent", at.record.Id, "verdict", a.Verdict.String(), "detail", a.Detail, "sends", r.sends)
+			"run", r.number, "agent", at.record.Id, "verdict", a.Verdict.String(), "detail", a.Detail, "sends", r.startsSent)
 	}
 	switch a.Verdict {
 	case Accepted:
 		r.phase = phaseRunning
 		r.startedAt, r.progressAt = e.now, e.now
 		r.confirm(e.now)
-		at.nextHold = e.now // its end is waited for
+		at.nextPoll = e.now // its end is waited for
 		if since, ok := e.readySince[r.task.Stage]; ok && r.number == 1 {
 			readyToStart.Update((e.now - since).Seconds())
 		}
 	case NoAnswer, RefusedExpired, RefusedFence, NoConnection:
-		r.phase, r.nextStart = phaseUnresolved, e.now+startRetry
+		r.phase, r.nextStart = phaseUnresolved, e.now+startRetryInterval
 	case RefusedStale:
 		r.phase, r.closedAt = phaseClosed, e.now
 	case RefusedTicket:
 		delete(e.adviceOf(r.task.Stage).tickets, at.record.Id)
 		delete(e.adviceOf(r.task.Stage).asked, at.record.Id)
-		e.startRefused(r, a)
+		e.resolveRefusedStart(r, a)
 	default:
-		at.restUntil = e.now + refusalPause
-		e.startRefused(r, a)
+		at.backoffUntil = e.now + refusalBackoff
+		e.resolveRefusedStart(r, a)
 	}
 }
 
-// startRefused settles a start that was surely not carried out. If an earlier
+// resolveRefusedStart settles a start that was surely not carried out. If an earlier
 // copy had no answer it may yet arrive, so the run is closed by a stop first.
-func (e *Engine) startRefused(r *run, a Answer) {
-	if r.sends == r.answers {
-		e.settle(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, a.Verdict.String())
+func (e *Engine) resolveRefusedStart(r *run, a Answer) {
+	if r.startsSent == r.startsAnswered {
+		e.resolve(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, a.Verdict.String())
 		return
 	}
-	r.phase, r.nextStart = phaseUnresolved, e.now+startRetry
+	r.phase, r.nextStart = phaseUnresolved, e.now+startRetryInterval
 	r.stopReason = "its start was refused while a copy of it may be on its way"
 }
 
-func (e *Engine) stopAnswered(at *agent, a Answer) {
-	r := e.runOf(at, a.Order.Run)
+func (e *Engine) handleStopAnswer(at *agent, a Answer) {
+	r := e.findRun(at, a.Order.Run)
 	if r == nil {
 		return
 	}
-	r.stopping, r.nextStop = false, e.now+stopRetry
+	r.stopPending, r.nextStop = false, e.now+stopRetryInterval
 	if a.Verdict != Accepted {
 		e.options.Logger.Info("stop not taken", "job", a.Order.Run.Job, "run", r.number, "agent", at.record.Id, "verdict", a.Verdict.String(), "detail", a.Detail)
 		return
@@ -305,54 +305,54 @@
 	r.phase, r.closedAt = phaseClosed, e.now
 }
 
-// settleAbsent settles the runs that the agent doesn't list, by what is
+// resolveMissingRuns settles the runs that the agent doesn't list, by what is
 // known of their orders.
-func (e *Engine) settleAbsent(at *agent, a Answer) {
-	if len(a.Completions) >= maxEndsListed {
+func (e *Engine) resolveMissingRuns(at *agent, a Answer) {
+	if len(a.Completions) >= maxListedCompletions {
 		return // the list may be cut off
 	}
-	for _, r := range at.ordered {
-		if r.listedAt == e.now || r.ending {
+	for _, r := range at.sortedRuns {
+		if r.listedAt == e.now || r.endPending {
 			continue
 		}
-		e.settleAbsentRun(r, a.Order.SentAt)
+		e.resolveMissingRun(r, a.Order.SentAt)
 	}
 }
 
-// maxEndsListed is how many ends an agent lists at once.
-const maxEndsListed = 500
+// maxListedCompletions is how many ends an agent lists at once.
+const maxListedCompletions = 500
 
-func (e *Engine) settleAbsentRun(r *run, askedAt time.Duration) {
+func (e *Engine) resolveMissingRun(r *run, askedAt time.Duration) {
 	switch r.phase {
 	case phaseUnknown:
 		// Under this leader's fence no earlier order can be carried out any
 		// more, and the run isn't there: it never began.
-		if e.wantsStop(r) != "" {
-			e.settle(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, "an earlier leader's order never arrived")
+		if e.reasonToStop(r) != "" {
+			e.resolve(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, "an earlier leader's order never arrived")
 			return
 		}
 		e.start(r)
 	case phaseClosed:
 		if askedAt >= r.closedAt {
-			e.settle(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, "closed and not there")
+			e.resolve(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, "closed and not there")
 		}
 	case phaseRunning:
 		if askedAt >= r.confirmedAt {
-			e.settle(r, wire.RunOutcome_RUN_OUTCOME_LOST, "was there and isn't any more")
+			e.resolve(r, wire.RunOutcome_RUN_OUTCOME_LOST, "was there and isn't any more")
 		}
-	case phaseOrdered, phaseUnresolved:
+	case phaseStarting, phaseUnresolved:
 	}
 }
 
 // settle commits an end that no agent lists.
-func (e *Engine) settle(r *run, outcome wire.RunOutcome, reason string) {
-	r.ending = true
+func (e *Engine) resolve(r *run, outcome wire.RunOutcome, reason string) {
+	r.endPending = true
 	id := r.id()
 	e.options.Logger.Info("run settled", "job", id.Job, "step", id.Step, "index", id.Index, "run", id.Run, "agent", r.agent.record.Id, "outcome", outcome.String(), "reason", reason)
 	end := &wire.RunEnd{Id: id, Agent: r.agent.record.Id, Outcome: outcome}
 	e.commitEnds([]*wire.RunEnd{end}, func(ok bool) {
 		if !ok {
-			r.ending = false
+			r.endPending = false
 		}
 	})
 }
--- a/internal/sched/drive/search.go
+++ b/internal/sched/drive/search.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// sampleSize is how many agents with room are rated for a stage, beside
+	// baseSampleSize is how many agents with room are rated for a stage, beside
 	// samplePerTask for each of its tasks. The best of some hundred is nearly the best
 	// of thousands, and each rating looks at all that runs there: the relaxed
 	// randomization of Verma et al., Large-scale cluster management at Google with
 	// Borg (2015). Up to that many agents all are rated.
-	sampleSize    = 100
-	samplePerTask = 2
-	// failedThereCost is what it costs, in run times, to run a task again on the
+	baseSampleSize = 100
+	samplePerTask  = 2
+	// repeatFailureCost is what it costs, in run times, to run a task again on the
 	// agent where it failed last.
-	failedThereCost = 2
+	repeatFailureCost = 2
 )
 
 type (
@@ -26,138 +26,138 @@
 	// rated once for all of them, and anew only when one has taken its place there:
 	// the equivalence classes of the same paper.
 	search struct {
-		pass    *pass
-		stage   *graph.Stage
-		rooms   []*room
-		next    int // the room that is looked at next
-		left    int // rooms that weren't looked at
-		sample  int // rooms that are rated before the best is taken
-		ratings []rating
+		pass        *pass
+		stage       *graph.Stage
+		free        []*freeResources
+		next        int // the room that is looked at next
+		remaining   int // rooms that weren't looked at
+		sampleLimit int // rooms that are rated before the best is taken
+		ratings     []rating
 	}
 
 	// rating is a room that fits and what it costs to place a task there.
 	rating struct {
-		room *room
-		at   int // its place among the rooms
-		cost float64
+		free  *freeResources
+		index int // its place among the rooms
+		cost  float64
 	}
 
 	// spare is what all usable agents of a pool have left, in thousandths of a
 	// processor.
-	spare struct {
-		free, all float64
-		// mostFree and mostIdle are the most that one of them has, for ordinary and for
+	poolSummary struct {
+		freeMillis, capacityMillis float64
+		// largestFree and largestReclaimable are the most that one of them has, for ordinary and for
 		// opportunistic tasks.
-		mostFree, mostIdle float64
-		// agents is how many there are, lastTries on how many of them a task is on its last
+		largestFree, largestReclaimable float64
+		// agents is how many there are, finalAttempts on how many of them a task is on its last
 		// try.
-		agents, lastTries int
+		agents, finalAttempts int
 	}
 )
 
-func sumUp(rooms []*room) *spare {
-	s := &spare{agents: len(rooms)}
+func summarize(rooms []*freeResources) *poolSummary {
+	s := &poolSummary{agents: len(rooms)}
 	for _, m := range rooms {
-		if m.lastTry {
-			s.lastTries++
+		if m.finalAttempt {
+			s.finalAttempts++
 		}
-		s.free += m.cpu
-		s.all += m.capacity
-		s.mostFree = max(s.mostFree, m.cpu)
-		s.mostIdle = max(s.mostIdle, m.idle)
+		s.freeMillis += m.cpuMillis
+		s.capacityMillis += m.capacityMillis
+		s.largestFree = max(s.largestFree, m.cpuMillis)
+		s.largestReclaimable = max(s.largestReclaimable, m.reclaimable)
 	}
 	return s
 }
 
 // take counts a task that found its place.
-func (s *spare) take(stage *graph.Stage) {
+func (s *poolSummary) assume(stage *graph.Stage) {
 	if !stage.Step.Opportunistic {
-		s.free -= float64(stage.Step.CpuMillis)
+		s.freeMillis -= float64(stage.Step.CpuMillis)
 	}
 }
 
 // holds tells whether any agent might have the processors for a task of a stage.
-func (s *spare) holds(stage *graph.Stage) bool {
+func (s *poolSummary) mayFit(stage *graph.Stage) bool {
 	if s == nil {
 		return true
 	}
 	if stage.Step.Opportunistic {
-		return s.mostIdle >= expectedUse(stage.Step)
+		return s.largestReclaimable >= defaultCPU(stage.Step)
 	}
-	return s.mostFree >= float64(stage.Step.CpuMillis)
+	return s.largestFree >= float64(stage.Step.CpuMillis)
 }
 
-func (p *pass) newSearch(s *graph.Stage, rooms []*room) *search {
-	f := &search{pass: p, stage: s, rooms: rooms, left: len(rooms), sample: len(rooms)}
-	if !p.spare[p.engine.poolOf(s.Job)].holds(s) {
-		f.left = 0
+func (p *pass) newSearch(s *graph.Stage, rooms []*freeResources) *search {
+	f := &search{pass: p, stage: s, free: rooms, remaining: len(rooms), sampleLimit: len(rooms)}
+	if !p.summaries[p.engine.poolOf(s.Job)].mayFit(s) {
+		f.remaining = 0
 	}
 	// Where few agents are good for a stage a sample would miss them: those near
 	// its data, and those where standing tasks like it are.
 	alike := s.Standing() || s.Step.DataRack != ""
-	if sample := sampleSize + samplePerTask*s.Unplaced; !alike && sample < len(rooms) {
-		f.sample = sample
-		f.next = p.engine.searched % len(rooms)
+	if sample := baseSampleSize + samplePerTask*s.Unplaced; !alike && sample < len(rooms) {
+		f.sampleLimit = sample
+		f.next = p.engine.searchOffset % len(rooms)
 	}
 	return f
 }
 
 // look rates rooms until the sample is full.
-func (f *search) look() {
-	begun := f.left
-	for f.left > 0 && len(f.ratings) < f.sample {
-		m := f.rooms[f.next]
+func (f *search) rateMore() {
+	begun := f.remaining
+	for f.remaining > 0 && len(f.ratings) < f.sampleLimit {
+		m := f.free[f.next]
 		if m.fits(f.stage) {
 			if cost := f.pass.cost(f.stage, m); !math.IsInf(cost, 1) {
 				f.ratings = append(f.ratings, rating{m, f.next, cost})
 			}
 		}
-		f.left--
-		f.next = (f.next + 1) % len(f.rooms)
+		f.remaining--
+		f.next = (f.next + 1) % len(f.free)
 	}
-	f.pass.engine.searched += begun - f.left
+	f.pass.engine.searchOffset += begun - f.remaining
 }
 
 // best returns the agent that a task is best placed on, or nil.
-func (f *search) best(t *graph.Task) *room {
+func (f *search) best(t *graph.Task) *freeResources {
 	for {
 		var best *rating
 		bestCost := math.Inf(1)
 		for i := range f.ratings {
 			r := &f.ratings[i]
 			cost := r.costOf(t)
-			if cost < bestCost || cost == bestCost && best != nil && r.at < best.at {
+			if cost < bestCost || cost == bestCost && best != nil && r.index < best.index {
 				best, bestCost = r, cost
 			}
 		}
 		if best != nil {
-			return best.room
+			return best.free
 		}
-		if f.left == 0 {
+		if f.remaining == 0 {
 			return nil
 		}
-		f.sample = max(f.sample, len(f.ratings)+sampleSize)
-		f.look()
+		f.sampleLimit = max(f.sampleLimit, len(f.ratings)+baseSampleSize)
+		f.rateMore()
 	}
 }
 
 // costOf is what it costs to place one task there, by what became of it before.
 func (r *rating) costOf(t *graph.Task) float64 {
-	id := r.room.agent.record.Id
+	id := r.free.agent.record.Id
 	if t.AvoidAgent == id && t.Stage.Step.Opportunistic {
 		return math.Inf(1)
 	}
-	cost := r.cost + r.room.risk(t)
+	cost := r.cost + r.free.crashCost(t)
 	if t.LastFailedOn == id {
-		cost += failedThereCost
+		cost += repeatFailureCost
 	}
 	return cost
 }
 
 // taken rates a room anew that has taken a task.
-func (f *search) taken(m *room) {
+func (f *search) updateRating(m *freeResources) {
 	for i := range f.ratings {
-		if f.ratings[i].room != m {
+		if f.ratings[i].free != m {
 			continue
 		}
 		cost := math.Inf(1)
@@ -176,4 +176,4 @@
 }
 
 // none tells whether there is no room for any task like those of the stage.
-func (f *search) none() bool { return len(f.ratings) == 0 && f.left == 0 }
+func (f *search) exhausted() bool { return len(f.ratings) == 0 && f.remaining == 0 }
--- a/internal/sched/drive/ordered.go
+++ b/internal/sched/drive/sort.go
@@ -23,31 +23,31 @@
 // addRun notes a run of a task that has none there.
 func (r *agent) addRun(known *run) {
 	r.runs[known.task] = known
-	i, _ := slices.BinarySearchFunc(r.ordered, known, compareRuns)
-	r.ordered = slices.Insert(r.ordered, i, known)
+	i, _ := slices.BinarySearchFunc(r.sortedRuns, known, compareRuns)
+	r.sortedRuns = slices.Insert(r.sortedRuns, i, known)
 }
 
 // removeRun forgets a run. Whoever is going over the runs goes over a list that stays
 // as it was.
 func (r *agent) removeRun(known *run) {
 	delete(r.runs, known.task)
-	kept := make([]*run, 0, len(r.ordered))
-	for _, other := range r.ordered {
+	kept := make([]*run, 0, len(r.sortedRuns))
+	for _, other := range r.sortedRuns {
 		if other != known {
 			kept = append(kept, other)
 		}
 	}
-	r.ordered = kept
+	r.sortedRuns = kept
 }
 
-// byID are all agents in the order of their ids.
-func (e *Engine) byID() []*agent {
-	if e.sorted == nil {
-		e.sorted = make([]*agent, 0, len(e.agents))
+// agentsByID are all agents in the order of their ids.
+func (e *Engine) agentsByID() []*agent {
+	if e.sortedAgents == nil {
+		e.sortedAgents = make([]*agent, 0, len(e.agents))
 		for _, at := range e.agents {
-			e.sorted = append(e.sorted, at)
+			e.sortedAgents = append(e.sortedAgents, at)
 		}
-		slices.SortFunc(e.sorted, func(a, b *agent) int { return strings.Compare(a.record.Id, b.record.Id) })
+		slices.SortFunc(e.sortedAgents, func(a, b *agent) int { return strings.Compare(a.record.Id, b.record.Id) })
 	}
-	return e.sorted
+	return e.sortedAgents
 }
--- a/internal/sched/drive/pace_test.go
+++ b/internal/sched/drive/throttle_test.go
@@ -28,10 +28,10 @@
 		over  time.Duration
 		halts bool
 	}{
-		{"others may be the cause, not for long", 100, longOver - time.Millisecond, false},
-		{"others may be the cause, for long", 100, longOver, true},
-		{"the own load seems to be, for long", 150, longOver, false},
-		{"the own load seems to be, for too long", 150, tooLongOver, true},
+		{"others may be the cause, not for long", 100, haltAfter - time.Millisecond, false},
+		{"others may be the cause, for long", 100, haltAfter, true},
+		{"the own load seems to be, for long", 150, haltAfter, false},
+		{"the own load seems to be, for too long", 150, haltRegardlessAfter, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -40,11 +40,11 @@
 			e := &Engine{now: time.Minute}
 			at := &agent{runs: map[*graph.Task]*run{}}
 			at.addRun(&run{
-				task: task, agent: at, phase: phaseRunning, percent: 100, usage: target + 10, usageAt: e.now,
-				overSince: e.now - c.over,
+				task: task, agent: at, phase: phaseRunning, progressPercent: 100, usage: target + 10, usageAt: e.now,
+				overTargetSince: e.now - c.over,
 			})
-			e.pressure.Observe(&at.runs[task].own, tails.Reading{Target: targetOf(stage.Step), At: e.now, Milliseconds: c.own})
-			assert.Equal(t, e.longestOver(at) != nil, c.halts)
+			e.tailModel.Observe(&at.runs[task].baseline, tails.Reading{Target: latencyTargetOf(stage.Step), At: e.now, Milliseconds: c.own})
+			assert.Equal(t, e.longestOverTarget(at) != nil, c.halts)
 		})
 	}
 }
@@ -72,7 +72,7 @@
 				Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
 			})
 			e.Tick(time.Second)
-			assert.Equal(t, e.pressure.Weight("standing", "beside"), c.want)
+			assert.Equal(t, e.tailModel.Weight("standing", "beside"), c.want)
 		})
 	}
 }
