--- a/internal/sched/drive/advice.go
+++ b/internal/sched/drive/advice.go
@@ -1,5 +1,4 @@
-// This file defines queues whose steps may run only where an outside service
-// allows it.
+// This file defines how an external advice service authorizes agents to run a stage.
 
 package drive
 
@@ -12,38 +11,37 @@
 )
 
 const (
-	// maxAgentsPerRequest is how many agents one call names. A call's time grows with
-	// them, and a step rarely needs more.
+	// maxAgentsPerRequest limits the agents in one request, whose duration grows with
+	// them.
 	maxAgentsPerRequest = 30
-	// ticketMargin is how long a ticket must still hold when a start is ordered:
-	// the time of an order and one repetition.
+	// ticketMargin is the least remaining validity of a ticket for a start: the time of
+	// one order and one retry.
 	ticketMargin = 800 * time.Millisecond
-	// adviceRetryInterval is the pause after a call that had no answer.
+	// adviceRetryInterval is the pause after a request without an answer.
 	adviceRetryInterval = 300 * time.Millisecond
 )
 
 type (
-	// AdviceRequest asks which of some agents may run a step.
+	// AdviceRequest asks which of the given agents may run a step.
 	AdviceRequest struct {
 		Job              string
 		Occurrence, Step uint32
-		// Agents are the ids of agents, Names those that they go by themselves, in the
-		// same order.
+		// Agents are the registered ids, Names the agents' own ids in the same order.
 		Agents, Names []string
 		// Timeout is how long the answer may take.
 		Timeout time.Duration
-		// Term is the leader's; an answer in a later one is left out.
+		// Term is the leader's term; answers in a later term are ignored.
 		Term uint64
 	}
 
-	// AdviceAnswer is what the service said.
+	// AdviceAnswer is the answer of the advice service.
 	AdviceAnswer struct {
 		Request AdviceRequest
-		// Answered tells that there was an answer.
+		// Answered indicates that there was an answer.
 		Answered bool
-		// Tickets are those of the agents that may run the step, by name.
+		// Tickets maps the names of the authorized agents to their tickets.
 		Tickets map[string]string
-		// Valid is how long the tickets hold, from the answer on.
+		// ValidFor is how long the tickets are valid after the answer.
 		ValidFor time.Duration
 		Detail   string
 	}
@@ -53,14 +51,14 @@
 		validUntil time.Duration
 	}
 
-	// advice is what the service said of one step.
+	// stageAdvice is the advice for one stage.
 	stageAdvice struct {
 		asked   map[string]bool
 		tickets map[string]ticket
 	}
 )
 
-// advicePolicyOf is the advice policy of a stage's queue, or nil.
+// advicePolicyOf returns the advice policy of a stage's queue, or nil.
 func (e *Engine) advicePolicyOf(s *graph.Stage) *wire.AdvicePolicy {
 	return e.graph.Queue(s.Job.Queue).GetAdvice()
 }
@@ -74,13 +72,13 @@
 	return a
 }
 
-// ticketFor returns a ticket that holds long enough for a start, or false.
+// ticketFor returns a ticket that is valid long enough for a start.
 func (e *Engine) ticketFor(s *graph.Stage, agent string) (string, bool) {
 	t, ok := e.adviceOf(s).tickets[agent]
 	return t.text, ok && e.now+ticketMargin < t.validUntil
 }
 
-// advised are the rooms of agents with a ticket for a stage.
+// withTickets returns the agents with a ticket for a stage.
 func (p *pass) withTickets(s *graph.Stage, rooms []*freeResources) []*freeResources {
 	var allowed []*freeResources
 	for _, m := range rooms {
@@ -91,9 +89,9 @@
 	return allowed
 }
 
-// requestAdvice asks about agents that could take what is left of a stage: those
-// that weren't asked about yet, and those allowed whose tickets have run out.
-// The service takes one call of ours at a time.
+// requestAdvice asks about agents that could run the remaining tasks of a stage and
+// weren't asked about or whose tickets have expired. The service accepts one request at a
+// time.
 func (p *pass) requestAdvice(s *graph.Stage, rooms []*freeResources) {
 	e := p.engine
 	if e.advicePending || e.now < e.nextAdvice || e.options.Advise == nil {
@@ -127,7 +125,7 @@
 	e.options.Advise(r)
 }
 
-// Advised takes an answer of the service.
+// HandleAdvice processes an answer of the advice service.
 func (e *Engine) HandleAdvice(now time.Duration, a AdviceAnswer) {
 	e.now = now
 	if a.Request.Term != e.term || e.term == 0 {
@@ -137,10 +135,10 @@
 	t := e.graph.FindTask(&wire.RunId{Job: a.Request.Job, Occurrence: a.Request.Occurrence, Step: a.Request.Step})
 	if !a.Answered {
 		e.nextAdvice = now + adviceRetryInterval
-		e.options.Logger.Info("no advice", "job", a.Request.Job, "step", a.Request.Step, "agents", len(a.Request.Agents), "detail", a.Detail)
+		e.options.Logger.Info("advice request failed", "job", a.Request.Job, "step", a.Request.Step, "agents", len(a.Request.Agents), "detail", a.Detail)
 		return
 	}
-	e.options.Logger.Info("advice", "job", a.Request.Job, "step", a.Request.Step, "agents", len(a.Request.Agents), "allowed", len(a.Tickets), "valid", a.ValidFor)
+	e.options.Logger.Info("advice received", "job", a.Request.Job, "step", a.Request.Step, "agents", len(a.Request.Agents), "allowed", len(a.Tickets), "valid", a.ValidFor)
 	if t == nil {
 		return
 	}
--- a/internal/sched/drive/agent.go
+++ b/internal/sched/drive/agent.go
@@ -1,5 +1,4 @@
-// This file defines what the leader knows of an agent and how it keeps its
-// lease.
+// This file defines the soft state of an agent and the renewal of its lease.
 
 package drive
 
@@ -13,76 +12,75 @@
 )
 
 const (
-	// pollRetryInterval is the pause after a hold that failed.
+	// pollRetryInterval is the pause after a failed poll.
 	pollRetryInterval = 250 * time.Millisecond
-	// noConnectionRetryInterval is the same where there was no connection for it.
+	// noConnectionRetryInterval is the pause after a poll that got no connection.
 	noConnectionRetryInterval = 50 * time.Millisecond
-	// expiredRetryInterval is the same once nothing runs there any more.
+	// expiredRetryInterval is the poll interval of an unreachable agent whose lease has
+	// expired and that has no runs.
 	expiredRetryInterval = time.Second
-	// unreachableDropAfter is how long a silent agent stays registered. One that tells no
-	// incarnation and was forgotten is never used again, since what it reports may have
-	// been sent before its end.
+	// unreachableDropAfter is how long an unreachable agent stays registered. An agent
+	// that reports no incarnation is never accepted again after that, since a late report
+	// of its old process couldn't be told from a new one.
 	unreachableDropAfter = 10 * time.Minute
-	// suspectAfter is how much later than due an answer may come before the
-	// agent gets no new work.
+	// suspectAfter is how overdue an answer may be before the agent gets no new tasks.
 	suspectAfter = 400 * time.Millisecond
-	// refusalBackoff keeps new work from an agent that refused a start, for its
-	// room or because it is unwell.
+	// refusalBackoff is how long an agent gets no new tasks after it refused a start.
 	refusalBackoff = 300 * time.Millisecond
-	// reportGracePeriod is how long after the begin of a leadership all agents have reported what
-	// has changed while there was no leader: they report each 1.1 s, and again at once
-	// where a report isn't acknowledged.
+	// reportGracePeriod is how long after an election every agent has reported its
+	// current capacity. Agents report every 1.1 s, and immediately if a report isn't
+	// acknowledged.
 	reportGracePeriod = 1500 * time.Millisecond
 )
 
-// agent is the soft state of a registered incarnation.
+// agent is the soft state of one registered incarnation of an agent.
 type agent struct {
 	record *wire.Agent
 	runs   map[*graph.Task]*run
-	// ordered are the same runs by job, step and task. A map has no order, and what is
-	// decided must not depend on chance: a day could not be played again.
+	// sortedRuns are the same runs, sorted by compareRuns. Decisions iterate over it
+	// instead of the map so that a simulation can be replayed exactly.
 	sortedRuns []*run
 	clock      agentClock
-	// synced is set by the first answer under this leader's fence: from then
-	// on no order of an earlier leader can be carried out.
+	// synced is set by the first answer under this leader's fence: from then on the agent
+	// refuses orders of earlier leaders.
 	synced      bool
 	polling     bool
 	pollSentAt  time.Duration
-	pollWait    time.Duration // how long the answer may take
-	pollPause   time.Duration // after the answer
+	pollWait    time.Duration // how long the agent may hold back its answer
+	pollPause   time.Duration // between the answer and the next poll
 	nextPoll    time.Duration
-	answeredAt  time.Duration // when the last hold was answered
-	failedPolls int           // holds in a row without an answer
-	// bounded tells that it is committed, or is being, by when its leases have run out.
+	answeredAt  time.Duration // when the last poll was answered
+	failedPolls int           // consecutive polls without an answer
+	// expiryCommitted is set once the expiry of its leases is proposed or committed.
 	expiryCommitted  bool
-	connectionClosed bool   // they show that its process has ended; see recordClosedConnection
-	lastAcked        uint64 // ends up to here are committed
-	// incarnation is that of the process that this is: the registered one or, where none
-	// is registered, that which answered first; 0 while no process told one.
+	connectionClosed bool   // its process has ended; see recordClosedConnection
+	lastAcked        uint64 // completions up to this number are committed
+	// incarnation identifies the process: the registered incarnation or, if none is
+	// registered, that of the first answer; 0 if unknown.
 	incarnation  uint64
-	endsPending  bool // ends are being committed
+	endsPending  bool // completions are being committed
 	dropping     bool
 	backoffUntil time.Duration
-	leavesAt     time.Duration // when a leaving agent ends; 0 when unknown
-	// reportSequence is that of the latest heartbeat, reported tells that this leader has
-	// heard one.
+	leavesAt     time.Duration // when a leaving agent shuts down; 0 if unknown
+	// reportSequence is the sequence number of the latest heartbeat; reported is set once
+	// this leader has received one.
 	reportSequence      uint64
 	reported            bool
-	hasLatencyTargets   bool // a run with a latency target is there
+	hasLatencyTargets   bool // it has a run with a latency target
 	throttleChangedAt   time.Duration
-	opportunisticHalted bool // no opportunistic work may run there for now
-	// latest is what each opportunistic run used at the latest reading that was
-	// learned from, tailsRecordedAt when that was.
+	opportunisticHalted bool // no opportunistic task may start there for now
+	// lastShares is the CPU share of each opportunistic run at the latest readings that
+	// were fed to the tail model, tailsRecordedAt the time of those.
 	lastShares      map[*run]float64
 	tailsRecordedAt time.Duration
-	// tailsCheckedAt is when its tails were last looked at.
+	// tailsCheckedAt is when its tail latencies were last checked.
 	tailsCheckedAt time.Duration
-	// beside is what opportunistic runs there use, by image, as of the latest answer.
+	// colocated is the current CPU share of its opportunistic runs, by image.
 	colocated tails.Load
-	// reconcileAt is when it is looked after next; 0 is in the next turn.
+	// reconcileAt is when it is reconciled next; 0 means at the next tick.
 	reconcileAt time.Duration
-	// room is what is left there, as of freeAt; freeStale tells that something has
-	// changed since.
+	// free is its free resources as of freeAt; freeStale means that they have to be
+	// recomputed.
 	free      freeResources
 	freeAt    time.Duration
 	freeStale bool
@@ -95,33 +93,34 @@
 	return at
 }
 
-// suspect tells whether the agent may be gone or cut off.
+// suspected reports whether the agent may be down or disconnected.
 func (e *Engine) suspected(at *agent) bool {
 	return at.failedPolls > 0 || (at.polling && e.now > at.pollSentAt+at.pollWait+suspectAfter)
 }
 
-// leaseRenewable tells whether an order may carry a deadline, which prolongs the lease.
+// leaseRenewable reports whether an order may carry a deadline, which renews the lease.
 func (r *agent) leaseRenewable() bool { return r.failedPolls == 0 && !r.expiryCommitted }
 
-// usable tells whether new work may be placed there.
+// schedulable reports whether new tasks may be placed on the agent.
 func (e *Engine) schedulable(at *agent) bool {
 	return at.synced && !at.expiryCommitted && !at.record.Leaving && !at.dropping && !e.suspected(at) && e.now >= at.backoffUntil && e.capacityKnown(at) && !e.drained(at)
 }
 
-// drained tells whether the agent's failure domain gets no new work.
+// drained reports whether the agent's failure domain accepts no new tasks.
 func (e *Engine) drained(at *agent) bool { return e.graph.Drained(at.record.FailureDomain) }
 
-// capacityKnown tells whether what the state says of an agent's room can be relied on. A
-// room may have shrunk while there was no leader to be told; an agent that guards it
-// refuses what doesn't fit, another one would be brought over it.
+// capacityKnown reports whether the registered capacity of an agent is current. It may
+// have shrunk while there was no leader. An agent that enforces its capacity refuses what
+// doesn't fit; any other would be overcommitted.
 func (e *Engine) capacityKnown(at *agent) bool {
 	return at.reported || e.now-e.leaderSince >= reportGracePeriod || e.enforcesCapacity(at)
 }
 
-// guarded tells whether an agent refuses starts for which it has no room.
+// enforcesCapacity reports whether the agent refuses starts that exceed its capacity.
 func (e *Engine) enforcesCapacity(at *agent) bool { return e.graph.Pool(at.record.Pool).GetGuarded() }
 
-// reconcileAgent renews the lease, and gives up what ran on an agent whose lease has run out.
+// reconcileAgent renews the agent's lease, or abandons its runs once the lease has
+// expired.
 func (e *Engine) reconcileAgent(at *agent) {
 	if at.dropping {
 		return
@@ -142,9 +141,8 @@
 		e.longPolls++
 	}
 	o := Order{Kind: Poll, LastAcked: at.lastAcked, Wait: next.wait}
-	// A silent agent gets no longer lease: each one sent may have been taken, so
-	// its end would move ahead with every try, and an agent that is gone for good
-	// would never be given up, nor its work run elsewhere.
+	// An unreachable agent's lease is not renewed: any renewal may have arrived, so each
+	// retry would postpone its expiry, and the runs would never be abandoned.
 	if at.leaseRenewable() {
 		o.Deadline = at.clock.grantLease(e.now, e.options.Lease)
 	}
@@ -157,10 +155,10 @@
 	}
 	at.dropping = true
 	agentsDropped.Inc()
-	e.options.Logger.Info("agent given up", "agent", at.record.Id, "address", at.record.Address, "reason", reason, "runs", len(at.runs), "silent", e.now-at.answeredAt, "lost", formatLost(at))
+	e.options.Logger.Info("agent dropped", "agent", at.record.Id, "address", at.record.Address, "reason", reason, "runs", len(at.runs), "silent", e.now-at.answeredAt, "lost", formatLost(at))
 	runsLost.Add(len(at.runs))
 	e.endLostRuns(at, why)
-	e.flushEnds() // before it is dropped, or what they save is lost
+	e.flushEnds() // before the drop, which would discard their checkpoints
 	e.propose(&wire.WorkCommand{Body: &wire.WorkCommand_DropAgent{DropAgent: &wire.DropAgent{Id: at.record.Id, Reason: reason}}},
 		func(_ state.Result, err error) {
 			if err != nil {
@@ -182,7 +180,7 @@
 			at.failedPolls++
 		}
 		if at.failedPolls == 1 {
-			e.options.Logger.Info("agent silent", "agent", at.record.Id, "verdict", a.Verdict.String(), "detail", a.Detail)
+			e.options.Logger.Info("agent unreachable", "agent", at.record.Id, "verdict", a.Verdict.String(), "detail", a.Detail)
 		}
 		at.nextPoll = e.now + pollRetryInterval
 		if len(at.sortedRuns) == 0 && e.leaseExpired(at) {
@@ -208,9 +206,10 @@
 	e.reconcileAgent(at)
 }
 
-// recordClosedConnection notes whether an order without an answer shows that the agent's process has
-// ended: the connection on which a hold waited was closed, or a new one was refused. Where
-// holds have failed before, a connection that is closed is one that outlived a cut.
+// recordClosedConnection checks whether an unanswered order proves that the agent's
+// process has ended: the connection of a pending poll was closed, or a new one was
+// refused. After failed polls a closed connection proves nothing; it may predate a
+// network partition.
 func (r *agent) recordClosedConnection(a Answer) {
 	waited := a.Order.Kind == Poll && r.failedPolls == 0
 	if a.ConnectionClosed && (waited || a.Verdict == NotSent) {
@@ -218,13 +217,12 @@
 	}
 }
 
-// dropPredecessors gives up the processes of which one that has answered is the
-// successor, at its address or under its name: it is proof that they have ended, and all
-// that ran in them.
+// dropPredecessors drops agents that the given one has replaced, by address or by name.
+// Its answer proves that their processes, and all of their runs, have ended.
 func (e *Engine) dropPredecessors(at *agent) {
 	for _, other := range e.agentsByID() {
 		if other != at && other.synced && at.precedes(other) {
-			// Its answer was on its way while its successor answered.
+			// This answer was in flight while its successor answered.
 			e.dropAgent(at, superseded, "a later incarnation has answered")
 			return
 		}
@@ -256,8 +254,8 @@
 	}
 }
 
-// stopUnknownRun stops a run that the state doesn't know to be there. It may only
-// be one whose end was noted on another ground.
+// stopUnknownRun stops a run that isn't in the replicated state, such as one whose end
+// was committed without the agent's report.
 func (e *Engine) stopUnknownRun(at *agent, id *wire.RunId) {
 	e.options.Logger.Warn("unknown run stopped", "agent", at.record.Id, "job", id.Job, "step", id.Step, "index", id.Index, "run", id.Run)
 	e.send(at, Order{Kind: Stop, Run: id})
--- a/internal/sched/drive/clock.go
+++ b/internal/sched/drive/clock.go
@@ -1,34 +1,32 @@
-// This file defines how an agent's clock and the ends of its leases are known.
+// This file defines how an agent's clock and the expiry of its leases are tracked.
 
 package drive
 
 import "time"
 
 const (
-	// maxClockSlowPercent is how much slower than ours an agent's clock may go; from
-	// the platform's description of its agents.
+	// maxClockSlowPercent is the maximum rate by which an agent's clock may lag behind
+	// ours.
 	maxClockSlowPercent = 2
 	// expirySlack covers timers that fire late on the agent.
 	expirySlack = 200 * time.Millisecond
-	// earlierLeaderMargin is how long after this leader's election an order of an
-	// earlier one may still have been sent: its right to lead ends before the
-	// election, so this covers only the time from its check to the wire.
+	// earlierLeaderMargin is how long after this leader's election an order of an earlier
+	// leader may still be sent. The earlier leader lease has ended by then, so this
+	// covers only the time from the check of that lease to the network.
 	earlierLeaderMargin = 1500 * time.Millisecond
 )
 
-// agentClock is what is known of one incarnation's clock and of the deadlines
-// that were sent to it.
+// agentClock tracks one incarnation's clock and the latest deadline sent to it.
 type agentClock struct {
 	known   bool
-	reading time.Duration // the agent's clock
-	readAt  time.Duration // boot time at which the reading had arrived
-	// deadline is the highest ever sent in this term, answered or not: an
-	// order without an answer may have been carried out.
+	reading time.Duration // on the agent's clock
+	readAt  time.Duration // when the reading arrived, on the boot clock
+	// deadline is the latest sent in this term. An unanswered order counts, as it may
+	// have been executed.
 	deadline time.Duration
 }
 
-// note takes a reading. A reading that is overtaken by a later one is older
-// than it and is left out.
+// update records a reading. A reading that arrives after a later one is ignored.
 func (c *agentClock) update(reading, now time.Duration) {
 	if c.known && reading <= c.reading {
 		return
@@ -36,13 +34,13 @@
 	c.known, c.reading, c.readAt = true, reading, now
 }
 
-// at is the latest that the agent's clock may show now.
+// latest returns the latest time that the agent's clock may show now.
 func (c *agentClock) latest(now time.Duration) time.Duration {
 	return c.reading + now - c.readAt
 }
 
-// grant returns the deadline for an order sent now, and remembers it; 0 while
-// the clock isn't known.
+// grantLease returns and records the deadline for an order sent now; 0 if the agent's
+// clock isn't known.
 func (c *agentClock) grantLease(now, lease time.Duration) time.Duration {
 	if !c.known {
 		return 0
@@ -52,9 +50,9 @@
 	return d
 }
 
-// leasesExpireAt is when every lease on the agent has run out, but for expirySlack: those that
-// this leader sent by the agent's clock at its slowest, those of earlier leaders by the
-// longest lease since they could last send one.
+// leasesExpireAt returns when every lease of the agent has expired, without expirySlack.
+// It assumes the slowest clock for leases of this leader, and the latest possible order
+// for leases of earlier leaders.
 func (c *agentClock) leasesExpireAt(ledSince, lease time.Duration) time.Duration {
 	at := ledSince + slowClockDuration(earlierLeaderMargin+lease)
 	if c.deadline != 0 {
@@ -63,10 +61,11 @@
 	return at
 }
 
-// slowClockDuration is how long a time of an agent's clock may take by ours.
+// slowClockDuration returns the longest real time that a duration on an agent's clock may
+// take.
 func slowClockDuration(d time.Duration) time.Duration { return d * 100 / (100 - maxClockSlowPercent) }
 
-// lapsed tells whether every lease on the agent has surely run out.
+// leasesExpired reports whether every lease of the agent is certain to have expired.
 func (c *agentClock) leasesExpired(now, ledSince, lease time.Duration) bool {
 	return now > c.leasesExpireAt(ledSince, lease)+expirySlack
 }
--- a/internal/sched/drive/completions.go
+++ b/internal/sched/drive/completions.go
@@ -10,14 +10,14 @@
 	"sycamoredeck.example/internal/store/state"
 )
 
-// endings are ends that wait to be committed and who waits for that.
+// endBatch collects run ends to commit, and the callbacks to call afterwards.
 type endBatch struct {
 	ends []*wire.RunEnd
 	done []func(ok bool)
 }
 
-// recordCompletions commits the ends that the agent lists. They are acknowledged to
-// it only after that, by the next hold.
+// recordCompletions commits the completions that the agent reports. They are acknowledged
+// by the first poll after the commit.
 func (e *Engine) recordCompletions(at *agent, a Answer) {
 	last := at.lastAcked
 	var ends []*wire.RunEnd
@@ -53,9 +53,8 @@
 	})
 }
 
-// logSkippedCompletions logs ends that are left out as known, where the run that one of them
-// ends is taken to be there: then it isn't known, and its number belongs to another
-// count.
+// logSkippedCompletions logs completions that were skipped by their number although the
+// run is still considered present: their number must belong to another sequence.
 func (e *Engine) logSkippedCompletions(at *agent, skipped []Completion) {
 	for _, report := range skipped {
 		r := e.findRun(at, report.Run)
@@ -63,13 +62,13 @@
 			continue
 		}
 		endsSkipped.Inc()
-		e.options.Logger.Warn("end left out by its number", "agent", at.record.Id, "job", report.Run.Job, "step", report.Run.Step, "index", report.Run.Index,
+		e.options.Logger.Warn("completion skipped by its number", "agent", at.record.Id, "job", report.Run.Job, "step", report.Run.Step, "index", report.Run.Index,
 			"run", report.Run.Run, "outcome", report.Outcome.String(), "number", report.Number, "acknowledged", at.lastAcked, "incarnation", at.incarnation)
 	}
 }
 
-// commitEnds has ends committed with all others of this turn: a record for each of them
-// would be encoded and synced by itself at every replica.
+// commitEnds adds run ends to the batch that is proposed at the next tick. One log entry
+// per run would be encoded and synced separately on every replica.
 func (e *Engine) commitEnds(ends []*wire.RunEnd, done func(ok bool)) {
 	for _, end := range ends {
 		countEnd(end.Outcome)
@@ -78,7 +77,7 @@
 	e.pendingEnds.done = append(e.pendingEnds.done, done)
 }
 
-// flushEnds proposes the ends that wait.
+// flushEnds proposes the pending batch.
 func (e *Engine) flushEnds() {
 	batch := e.pendingEnds
 	if len(batch.ends) == 0 {
@@ -97,7 +96,7 @@
 	})
 }
 
-// markAgentsChanged touches the agents that listed ends.
+// markAgentsChanged marks the agents of the given ends as changed.
 func (e *Engine) markAgentsChanged(ends []*wire.RunEnd) {
 	for _, end := range ends {
 		if at := e.agents[end.Agent]; at != nil {
@@ -106,7 +105,7 @@
 	}
 }
 
-// formatEnds lists ends for a log line, each as TASK#RUN@AGENT=HOW.
+// formatEnds lists ends for logs, each as TASK#RUN@AGENT=OUTCOME.
 func formatEnds(ends []*wire.RunEnd) string {
 	var text strings.Builder
 	for i, end := range ends {
--- a/internal/sched/drive/durations.go
+++ b/internal/sched/drive/durations.go
@@ -1,4 +1,4 @@
-// This file defines what is learned of how long tasks take against what is declared.
+// This file defines the estimates of run times from declared ones.
 
 package drive
 
@@ -10,28 +10,28 @@
 )
 
 const (
-	// minFitSamples is how many runs of a queue have to end before their times count.
+	// minFitSamples is how many runs of a queue have to end before its fit is used.
 	minFitSamples = 50
-	// maxFitSamples bounds how many runs count, so that work which changes is followed.
+	// maxFitSamples limits the weight of old runs, so that the fit adapts to changes.
 	maxFitSamples = 3000
-	// minVariance of the logarithms of declared times is needed to tell how real times
-	// follow them; below it they are all alike.
+	// minVariance is the least variance of the logarithms of declared times for which a
+	// slope is fitted; below it they are too similar.
 	minVariance = 0.01
-	// minJobSamples is how many runs of a job have to end before they go before its queue's.
+	// minJobSamples is how many runs of a job have to end before its own factor replaces
+	// the fit of its queue.
 	minJobSamples = 2
 )
 
 type (
-	// durationFit is the real times of a queue's runs fitted to the declared ones, both as
-	// logarithms: what is declared is off by a factor, a different one for each job. Where
-	// declared times are right the fit gives them back; where they say nothing it gives
-	// the usual time. The zero value has no samples.
+	// durationFit is a linear regression of the actual run times of a queue on the
+	// declared ones, both as logarithms. If declared times are right it yields them; if
+	// they carry no information it yields the mean. The zero value has no samples.
 	durationFit struct {
 		samples, sumDeclared, sumActual, sumDeclaredSquared, sumProducts float64
 	}
 
-	// jobDurations are the factors by which a job's ended runs took longer than declared. The
-	// zero value has no samples.
+	// jobDurations is the mean ratio of actual to declared run times of one job, as a
+	// logarithm. The zero value has no samples.
 	jobDurations struct {
 		samples, sumLogRatios float64
 	}
@@ -57,8 +57,8 @@
 	f.sumProducts += x * y
 }
 
-// factor is how many times as long as declared a task is expected to take; 1 while too
-// few runs have ended.
+// factor returns the expected ratio of a task's run time to the declared one; 1 while
+// there are too few samples.
 func (f *durationFit) factor(declared time.Duration) float64 {
 	if f == nil || f.samples < minFitSamples {
 		return 1
@@ -78,8 +78,8 @@
 	o.sumLogRatios += logMillis(taken) - logMillis(declared)
 }
 
-// factor is how many times as long as declared a job's runs took; false while too few
-// have ended.
+// factor returns the ratio of a job's run times to the declared ones; false while there
+// are too few samples.
 func (o *jobDurations) factor() (float64, bool) {
 	if o == nil || o.samples < minJobSamples {
 		return 1, false
@@ -87,7 +87,8 @@
 	return math.Exp(o.sumLogRatios / o.samples), true
 }
 
-// recordDuration learns from a run that ended as done, unless it was slowed or resumed.
+// recordDuration adds a successful run to the estimates, unless it was throttled or
+// resumed.
 func (e *Engine) recordDuration(r *run) {
 	step := r.task.Stage.Step
 	if step.EstimateMs == 0 || step.Standing || r.startedAt == 0 || r.throttledAt != 0 || r.task.Checkpoint != "" {
@@ -105,8 +106,9 @@
 	e.estimates.jobs[job].add(declared, taken)
 }
 
-// durationFactor is how many times as long as declared the tasks of a stage, and those that
-// follow it, are expected to take: by the job's own runs, else by those of its queue.
+// durationFactor returns the expected ratio of the run times of a stage, and of those
+// that depend on it, to the declared ones: by the job's own runs, otherwise by its
+// queue's.
 func (e *Engine) durationFactor(s *graph.Stage) float64 {
 	if !e.enabled(EstimateDurations) || s.Step.EstimateMs == 0 {
 		return 1
--- a/internal/sched/drive/engine.go
+++ b/internal/sched/drive/engine.go
@@ -1,12 +1,12 @@
-// This file defines Engine, its start and its turn.
+// This file defines Engine, its startup and its event loop.
 
-// Package drive is what the leader does to have jobs of steps run: it keeps
-// leases on agents, places tasks, orders starts and stops and settles what
-// became of orders without an answer.
+// Package drive is the scheduling engine of the leader. It keeps leases on agents,
+// assigns tasks to them, starts and stops runs, and resolves orders that were never
+// answered.
 //
-// Engine is plain data with rules: time, commits and answers come in, orders
-// and proposals go out. It belongs to one goroutine. All that it knows beside
-// the replicated state is soft and is learned anew by each leader.
+// An Engine does no I/O: it is fed the time, committed commands and answers of agents,
+// and emits orders and proposals. It is not safe for concurrent use. Everything it holds
+// beyond the replicated state is soft state, which each new leader rebuilds.
 package drive
 
 import (
@@ -21,98 +21,98 @@
 )
 
 type (
-	// Options are fixed for the life of an Engine.
+	// Options configure an Engine and do not change afterwards.
 	Options struct {
 		Graph *graph.Graph
-		// Propose has a command committed; done is called on the goroutine
-		// that the engine belongs to.
+		// Propose submits a command to the replicated log. It calls done on the goroutine
+		// that owns the engine.
 		Propose func(command *wire.Command, done func(state.Result, error))
-		// Leads tells the term in which this replica leads and has applied all
-		// that earlier leaders committed.
+		// IsLeader returns the term in which this replica is the leader and has applied
+		// all entries of earlier terms.
 		IsLeader func() (term uint64, ok bool)
-		// HoldsLeaderLease tells whether a quorum has confirmed the lead in the term so
-		// lately that orders may leave. Nil is always.
+		// HoldsLeaderLease reports whether a quorum has confirmed this leader so recently
+		// that orders may be sent. Nil means always.
 		HoldsLeaderLease func(term uint64) bool
-		// Send hands an order over without blocking. Its answer comes back
-		// through Answered.
+		// Send sends an order without blocking. The answer is passed to HandleAnswer.
 		Send func(Order)
-		// Advise asks the outside service without blocking; its answer comes back
-		// through Advised. Nil where there is none.
+		// Advise queries the external advice service without blocking. The answer is
+		// passed to HandleAdvice. Nil if there is no such service.
 		Advise func(AdviceRequest)
-		// Wall is the time of day, for work that is due at one.
+		// WallClock returns the time of day, against which the due times of stages are
+		// checked.
 		WallClock func() time.Time
-		// Boot is a clock that also counts suspension; package boot's when nil.
+		// BootClock is a monotonic clock that includes suspension. Default: boot.Now.
 		BootClock func() time.Duration
-		// Lease is how long an agent may run on without hearing from the
-		// leader, StopGrace how long it takes at most to stop a run.
+		// Lease is how long an agent keeps its runs without contact to the leader;
+		// StopGrace is the longest time it takes to stop a run.
 		Lease, StopGrace time.Duration
-		// OtherRackFactor is how many times as long a task takes away from the
-		// rack of its data; 1 when below.
+		// OtherRackFactor is the slowdown of a task that runs outside the rack of its
+		// data; values below 1 count as 1.
 		OtherRackFactor float64
-		// Connections is how many connections to agents there may be; 0 is as many as are
-		// wanted.
+		// MaxConnections limits the connections to agents; 0 means no limit.
 		MaxConnections int
-		// Off are mechanisms that are switched off.
+		// Disabled are the features that are switched off.
 		Disabled map[Feature]bool
 		Logger   *slog.Logger
 	}
 
-	// Engine drives the agents while this replica leads.
+	// Engine schedules jobs and drives the agents while this replica is the leader.
 	Engine struct {
 		options     Options
 		graph       *graph.Graph
-		term        uint64 // in which it drives; 0 when it doesn't
+		term        uint64 // the term it leads in; 0 if it is not the leader
 		leaderSince time.Duration
 		now         time.Duration
 		agents      map[string]*agent
 		runs        map[*graph.Task]*run
-		// ended are the ends that this turn commits.
+		// pendingEnds are the run ends to commit at the next flush.
 		pendingEnds endBatch
-		// touched are the agents that the replicated state changed since it was followed.
+		// changedAgents are the agents whose replicated state changed since the last
+		// sync.
 		changedAgents map[string]bool
-		// pools are the agents by pool, in the order of their ids; nil when they are to
-		// be sorted anew. lists are the rooms of the latest pass, kept for their memory.
+		// agentsByPool are the agents of each pool, sorted by id; nil means rebuild.
+		// freeByPool are the lists of the latest pass, kept to reuse their memory.
 		agentsByPool map[string][]*agent
-		// sorted are all agents in the order of their ids; nil when they are to be sorted
-		// anew.
+		// sortedAgents are all agents, sorted by id; nil means rebuild.
 		sortedAgents []*agent
 		freeByPool   map[string][]*freeResources
-		// loads are what runs, kept as runs come and go.
+		// runningCPU sums the requested CPU of all runs, in millicores.
 		runningCPU map[loadKey]float64
-		// searched is where the next search for an agent begins, where not all are
-		// looked at.
+		// searchOffset is where the next search over a sample of the agents begins.
 		searchOffset int
-		// overlooked are the ids that were given up and reported again, with the
-		// incarnation that did.
+		// ignoredReports maps removed agents whose heartbeats still arrive to the
+		// incarnation that was logged last.
 		ignoredReports map[string]uint64
-		// dirty tells that something to place or a place may have come up.
+		// placementDirty indicates that a pass could place something.
 		placementDirty   bool
 		placementPending bool
 		nextTimedCheck   time.Duration
 		estimates        estimates
 		tailModel        tails.Model
-		// ordinaryDemand is in thousandths of a processor, by pool.
+		// ordinaryDemand is the recent peak demand of ordinary tasks by pool, in
+		// millicores.
 		ordinaryDemand map[string]float64
 		// ordinarySince is when ordinary work was first seen, by pool.
 		ordinarySince       map[string]time.Duration
 		nextDemandDecay     time.Duration
 		nextCleanup         time.Duration
-		nextSave            time.Duration // when what is learned is kept again
+		nextSave            time.Duration // when to persist the estimates
 		savedEstimates      *wire.Learned
 		nextDemandUpdate    time.Duration
-		longPolls           int           // under way that wait for an end
-		nextUnreachableScan time.Duration // when silent agents are looked for
-		unreachablePending  bool          // such a proposal is under way
-		// nextReconcile and nextPass are when agents and runs are looked after, and
-		// tasks placed, at the earliest; passTook is what the last pass took.
+		longPolls           int           // polls in flight that wait for a completion
+		nextUnreachableScan time.Duration // when to scan for unreachable agents
+		unreachablePending  bool          // a proposal of commitUnreachable is in flight
+		// nextReconcile and nextPass are the earliest times of the next reconciliation
+		// and of the next scheduling pass.
 		nextReconcile, nextPass time.Duration
-		// clearing is the agent on which room grows for a standing task.
+		// reservations maps standing tasks, and tasks on their final attempt, to the
+		// agent on which capacity is reserved for them.
 		reservations  map[*graph.Task]string
 		advice        map[*graph.Stage]*stageAdvice
-		advicePending bool // a call is under way
+		advicePending bool // a request is in flight
 		nextAdvice    time.Duration
-		// line is the order in which stages are served, fresh those that came since it
-		// was made.
+		// queue holds the ready stages in scheduling order, newlyReady those that became
+		// ready since it was last updated.
 		queue      pendingQueue
 		newlyReady []*graph.Stage
 		// readySince is when each stage was first seen with tasks to place.
@@ -121,21 +121,18 @@
 )
 
 const (
-	// timedCheckInterval is how often work that is due by the time of day is looked
-	// for.
+	// timedCheckInterval is the interval at which stages with a due time are checked.
 	timedCheckInterval = 50 * time.Millisecond
-	// reconcileInterval is how often the agents and runs that wait for something are looked
-	// after, beside those that something was just heard of.
+	// reconcileInterval is the interval at which agents with pending work are reconciled.
 	reconcileInterval = 20 * time.Millisecond
-	// passGapFactor is how many times a pass's own time lies between two passes, so
-	// that placing takes at most half of the processor however much waits.
+	// passGapFactor is the pause between two passes as a multiple of the pass's duration.
+	// It limits scheduling to half of one core under any backlog.
 	passGapFactor = 1
-	// minPassInterval is the least time between two passes: what comes together
-	// is placed and committed together.
+	// minPassInterval batches what arrives together into one pass and one proposal.
 	minPassInterval = 3 * time.Millisecond
 )
 
-// New returns an engine that doesn't drive yet.
+// New returns an engine that is idle until its replica becomes the leader.
 func New(options Options) *Engine {
 	if options.BootClock == nil {
 		options.BootClock = boot.Now
@@ -174,13 +171,13 @@
 	e.placementDirty = true
 }
 
-// Turn does what has become due. Now is the boot clock.
+// Tick performs all work that is due at now, a time of the boot clock.
 func (e *Engine) Tick(now time.Duration) {
 	e.now = now
 	term, leads := e.options.IsLeader()
 	if !leads {
 		if e.term != 0 {
-			e.options.Logger.Info("driving ends: leadership lost", "term", e.term)
+			e.options.Logger.Info("leadership lost", "term", e.term)
 			e.term = 0
 			e.reset()
 		}
@@ -191,7 +188,7 @@
 	}
 	e.syncState()
 	e.flushEnds()
-	// Without the right to order all would be sent in vain, again each turn.
+	// Without the leader lease every order would be dropped before it is sent.
 	if e.options.HoldsLeaderLease != nil && !e.options.HoldsLeaderLease(e.term) {
 		return
 	}
@@ -204,7 +201,7 @@
 	e.place()
 }
 
-// Wake is how long from now the engine wants its next turn at the latest.
+// NextTick returns the longest time after which Tick has to be called again.
 func (e *Engine) NextTick() time.Duration {
 	if e.term == 0 {
 		return timedCheckInterval
@@ -216,8 +213,8 @@
 	return max(wake-e.now, 0)
 }
 
-// adopt begins to drive. Every run in the state may exist and what became of
-// it is unknown until its agent has answered under this leader's fence.
+// startTerm initializes the soft state of a new leader. Every run in the replicated state
+// may exist; its actual status is unknown until its agent answers under the new fence.
 func (e *Engine) startTerm(term uint64) {
 	e.reset()
 	e.term, e.leaderSince = term, e.now
@@ -228,12 +225,12 @@
 	e.options.Logger.Info("driving begins", "term", term, "agents", len(e.graph.Agents()), "jobs", len(e.graph.Jobs()))
 }
 
-// propose has a command about jobs of steps committed.
+// propose submits a work command and drops the result if the term has ended since.
 func (e *Engine) propose(command *wire.WorkCommand, done func(state.Result, error)) {
 	term := e.term
 	e.options.Propose(&wire.Command{Body: &wire.Command_Work{Work: command}}, func(res state.Result, err error) {
 		if e.term != term {
-			return // the soft state that asked is gone
+			return // the soft state of the caller is gone
 		}
 		e.placementDirty = true
 		if done != nil {
@@ -242,17 +239,17 @@
 	})
 }
 
-// send hands over an order under this leader's fence.
+// send sends an order to an agent with this leader's fence.
 func (e *Engine) send(at *agent, o Order) {
 	o.Agent, o.Incarnation, o.Fence, o.SentAt = at.record, at.incarnation, e.term, e.now
 	e.options.Send(o)
 }
 
-// Answered takes the answer to an order.
+// HandleAnswer processes the answer to an order.
 func (e *Engine) HandleAnswer(now time.Duration, a Answer) {
 	e.now = now
 	if a.Order.Fence != e.term || e.term == 0 {
-		return // an order of an earlier term; its agent is asked anew
+		return // sent in an earlier term; startTerm re-queries every agent
 	}
 	if a.Order.Kind == Poll && a.Order.Wait > 0 {
 		e.longPolls--
--- a/internal/sched/drive/estimates.go
+++ b/internal/sched/drive/estimates.go
@@ -1,4 +1,4 @@
-// This file defines what is learned of agents from how runs go there.
+// This file defines the estimates of agents' speed and reliability, and stall detection.
 
 package drive
 
@@ -10,35 +10,34 @@
 )
 
 const (
-	// newSampleWeight is the weight of the newest run in an agent's averages; with
-	// it about eight runs decide.
+	// newSampleWeight is the weight of a new sample in the moving averages of an agent.
 	newSampleWeight = 0.25
-	// failureCost is what an agent on which every run fails costs, in run times.
+	// failureCost is the cost, in run times, of an agent on which every run fails.
 	failureCost = 6.0
-	// minStallTime is the shortest time without progress after which a run counts
-	// as stalled; progress is told in whole percent with each hold.
+	// minStallTime is the least time without progress after which a run is stalled.
+	// Progress is reported in whole percent with each poll.
 	minStallTime = 2 * time.Second
-	// stallShare of a task's declared time without progress is a stall: even a
-	// task that is four times slower than declared moves by a percent in less.
+	// stallShare is the share of a task's declared time without progress after which it
+	// is stalled. A task that is four times slower than declared gains a percent in less.
 	stallShare = 0.3
-	// startupStallTime is the same for standing tasks that don't get to work.
+	// startupStallTime is the same for standing tasks that don't become ready.
 	startupStallTime = 4 * time.Second
 )
 
 type (
-	// record is what is learned of one agent.
+	// agentEstimate is the estimate of one agent.
 	agentEstimate struct {
-		slowdown    float64 // run time against the declared one, beside all agents'
-		failureRate float64 // share of runs that failed, stalled or were refused
+		slowdown    float64 // run time relative to the declared one and to the queue's durationRatio
+		failureRate float64 // share of runs that failed or stalled
 	}
 
-	// learning is what is learned of agents. The zero value knows nothing.
+	// estimates are what the engine estimates from past runs. The zero value is empty.
 	estimates struct {
 		agents map[string]*agentEstimate
-		// ratio is the run time against the declared one, by queue: declared
-		// times are off by queue more than by agent.
+		// durationRatio is the mean run time relative to the declared one, by queue.
+		// Declared times are off by queue more than by agent.
 		durationRatio map[string]float64
-		// queues and jobs tell how long tasks take against what is declared.
+		// queues and jobs estimate run times from declared ones.
 		queues map[string]*durationFit
 		jobs   map[*graph.Job]*jobDurations
 	}
@@ -55,7 +54,7 @@
 	return l.agents[id]
 }
 
-// slowness is how many sound run times a run is expected to cost there.
+// expectedSlowdown returns the expected cost of a run on an agent, in normal run times.
 func (l *estimates) expectedSlowdown(id string) float64 {
 	r := l.agents[id]
 	if r == nil {
@@ -72,8 +71,8 @@
 	r.failureRate += (value - r.failureRate) * newSampleWeight
 }
 
-// recordOutcome learns from an end. Opportunistic runs tell nothing of their
-// agent's speed, since they only get what others leave.
+// recordOutcome updates the estimates with the end of a run. Opportunistic runs don't
+// indicate the speed of their agent, as they only get the CPU that others leave unused.
 func (e *Engine) recordOutcome(at *agent, t *graph.Task, outcome wire.RunOutcome) {
 	r := e.runs[t]
 	if r == nil {
@@ -86,7 +85,7 @@
 		e.recordSlowdown(learned, r)
 		e.recordDuration(r)
 	case wire.RunOutcome_RUN_OUTCOME_FAILED:
-		// Standing tasks fail by themselves at any time.
+		// Standing tasks may fail at any time through no fault of the agent.
 		if !t.Stage.Standing() {
 			learned.recordResult(true)
 		}
@@ -110,8 +109,8 @@
 	learned.slowdown += (ratio/max(usual, 0.01) - learned.slowdown) * newSampleWeight
 }
 
-// checkProgress stops a run that stands still, so that it is started again
-// elsewhere. Its checkpoint is kept.
+// checkProgress stops a stalled run so that it is restarted elsewhere from its
+// checkpoint.
 func (e *Engine) checkProgress(r *run) {
 	step := r.task.Stage.Step
 	if r.stopReason != "" || r.progressPercent >= 100 || (step.Opportunistic && r.cpuPercent < fullPercent) || step.Gang {
@@ -121,14 +120,13 @@
 	if step.Standing {
 		limit = startupStallTime
 	}
-	// Only what the agent has told since counts: without a fresh answer there
-	// is no progress to see.
+	// Only reports since the last progress count: without a recent one nothing is known.
 	if r.confirmedAt-r.progressAt < limit {
 		return
 	}
-	r.stopReason = "it stands still"
+	r.stopReason = "no progress"
 	runsStalled.Inc()
 	e.estimates.agent(r.agent.record.Id).recordResult(true)
-	e.options.Logger.Info("run stands still", "job", r.task.Stage.Job.ID, "step", r.task.Stage.Index, "index", r.task.Index, "run", r.number,
+	e.options.Logger.Info("run stalled", "job", r.task.Stage.Job.ID, "step", r.task.Stage.Index, "index", r.task.Index, "run", r.number,
 		"agent", r.agent.record.Id, "percent", r.progressPercent, "unchanged", e.now-r.progressAt)
 }
--- a/internal/sched/drive/export_test.go
+++ b/internal/sched/drive/export_test.go
@@ -1,4 +1,4 @@
-// This file lets the tests of the engine look at what it keeps.
+// This file gives tests access to the internals of the engine.
 
 package drive
 
@@ -7,12 +7,11 @@
 	"maps"
 )
 
-// CommitEnds has the ends committed that wait for the next turn, and does no more of it.
-func (e *Engine) CommitEnds() { e.flushEnds() }
+// FlushEnds proposes the pending run ends without a full tick.
+func (e *Engine) FlushEnds() { e.flushEnds() }
 
-// CheckKept compares what is kept from turn to turn with what it would be worked out
-// to be anew; an error names the first difference.
-func (e *Engine) CheckKept() error {
+// CheckCaches compares cached values with recomputed ones and returns the first difference.
+func (e *Engine) CheckCaches() error {
 	if e.term == 0 {
 		return nil
 	}
@@ -21,32 +20,32 @@
 		loads[loadKeyOf(t)] += float64(t.Stage.Step.CpuMillis)
 	}
 	if !maps.Equal(loads, e.runningCPU) {
-		return fmt.Errorf("running work is kept as %v; it is %v", e.runningCPU, loads)
+		return fmt.Errorf("running CPU is cached as %v, want %v", e.runningCPU, loads)
 	}
 	for id, at := range e.agents {
-		if err := e.checkAgent(at); err != nil {
+		if err := e.checkAgentCaches(at); err != nil {
 			return fmt.Errorf("agent %s: %w", id, err)
 		}
 	}
 	return nil
 }
 
-func (e *Engine) checkAgent(at *agent) error {
+func (e *Engine) checkAgentCaches(at *agent) error {
 	id := at.record.Id
 	if registered := e.graph.Agent(id); registered != nil && !e.changedAgents[id] {
 		for t := range registered.Tasks {
 			if r := e.runs[t]; r == nil || r.agent != at || r.number != t.Run {
-				return fmt.Errorf("the run of task %s isn't followed", t.ID())
+				return fmt.Errorf("the run of task %s isn't tracked", t.ID())
 			}
 		}
 		if len(registered.Tasks) != len(at.runs) {
-			return fmt.Errorf("%d runs are followed of %d", len(at.runs), len(registered.Tasks))
+			return fmt.Errorf("%d runs are tracked, want %d", len(at.runs), len(registered.Tasks))
 		}
 	}
 	if at.reconcileAt > e.now && !at.dropping && at.synced {
 		for _, r := range at.runs {
 			if r.hasPendingOrder() && at.reconcileAt > e.now+reconcileInterval {
-				return fmt.Errorf("run %s waits, and isn't looked after until %v", r.id(), at.reconcileAt)
+				return fmt.Errorf("run %s has a pending order, but its agent isn't reconciled until %v", r.id(), at.reconcileAt)
 			}
 		}
 	}
@@ -60,10 +59,10 @@
 	m := fresh.free
 	if kept.cpuMillis != m.cpuMillis || kept.memoryMB != m.memoryMB || kept.accelerators != m.accelerators || kept.ordinaryMillis != m.ordinaryMillis || kept.standing != m.standing ||
 		kept.suspects < m.suspects || kept.unconfirmed < m.unconfirmed || m.finalAttempt && !kept.finalAttempt {
-		return fmt.Errorf("its room is kept as %+v; it is %+v", kept, m)
+		return fmt.Errorf("free resources are cached as %+v, want %+v", kept, m)
 	}
 	if !maps.Equal(kept.tasksByStage, m.tasksByStage) || !maps.Equal(kept.standingByImage, m.standingByImage) {
-		return fmt.Errorf("what is there is kept as %v and %v; it is %v and %v", kept.tasksByStage, kept.standingByImage, m.tasksByStage, m.standingByImage)
+		return fmt.Errorf("tasks by stage and image are cached as %v and %v, want %v and %v", kept.tasksByStage, kept.standingByImage, m.tasksByStage, m.standingByImage)
 	}
 	return nil
 }
--- a/internal/sched/drive/features.go
+++ b/internal/sched/drive/features.go
@@ -1,4 +1,4 @@
-// This file defines the mechanisms of placement that can be switched off.
+// This file defines the scheduling features that can be switched off.
 
 package drive
 
@@ -8,52 +8,51 @@
 	"strings"
 )
 
-// Mechanism is a part of how work is placed that can be switched off, to find out
-// what it is worth. None of them keeps a promise on its own: what must hold does so
-// with all of them off.
+// Feature is a scheduling feature that can be switched off for ablation measurements. No
+// guarantee depends on a single feature: all of them hold with every feature off.
 type Feature string
 
-// The mechanisms.
+// Features.
 const (
-	// GroupSimilar places standing tasks of one image on the same agents.
+	// GroupSimilar places standing tasks with the same image on the same agents.
 	GroupSimilar Feature = "AlikeTogether"
-	// Halts stops all opportunistic work beside a standing run that is over its target
-	// for long.
+	// HaltOpportunistic halts all opportunistic runs that are colocated with a standing
+	// run which exceeds its latency target for long.
 	HaltOpportunistic Feature = "Halts"
-	// ReserveForStanding lets room grow for a standing task that has to come back.
+	// ReserveForStanding reserves an agent for a standing task that has to be restarted.
 	ReserveForStanding Feature = "KeepClear"
-	// PersistEstimates hands what a leader learned to the next one.
+	// PersistEstimates hands the leader's estimates on to the next leader.
 	PersistEstimates Feature = "LearnedKept"
-	// EstimateDurations orders work by how long it is found to take, not by what is declared.
+	// EstimateDurations orders stages by estimated instead of declared run times.
 	EstimateDurations Feature = "LearnedTimes"
-	// Moves stops disturbing runs that save their progress, to resume elsewhere.
+	// Migrate evicts interfering checkpointable runs, which resume on another agent.
 	Migrate Feature = "Moves"
-	// Reserve keeps room for ordinary work against standing tasks that are new.
+	// ReserveForOrdinary reserves capacity for ordinary tasks against new standing tasks.
 	ReserveForOrdinary Feature = "Reserve"
-	// UsageBasedCapacity takes what is used, not what is declared, for the room of
-	// opportunistic work.
+	// UsageBasedCapacity derives the capacity for opportunistic tasks from the usage of
+	// other tasks instead of their requests.
 	UsageBasedCapacity Feature = "RoomByUse"
-	// PredictVariation looks for the peak of standing tasks' own loads over a run's time.
+	// PredictVariation predicts the peak load of standing tasks over a task's run time.
 	PredictVariation Feature = "SwingForeseen"
 )
 
-// Mechanisms are all that can be switched off.
+// Features lists all features.
 var Features = []Feature{
 	GroupSimilar, HaltOpportunistic, ReserveForStanding, PersistEstimates, EstimateDurations, Migrate, ReserveForOrdinary, UsageBasedCapacity, PredictVariation,
 }
 
-// ParseFeatures reads names of mechanisms.
+// ParseFeatures parses the names of features.
 func ParseFeatures(names []string) (map[Feature]bool, error) {
 	named := map[Feature]bool{}
 	for _, name := range names {
 		m := Feature(strings.TrimSpace(name))
 		if !slices.Contains(Features, m) {
-			return nil, fmt.Errorf("drive: no mechanism %q; there are %v", name, Features)
+			return nil, fmt.Errorf("drive: unknown feature %q, valid features are %v", name, Features)
 		}
 		named[m] = true
 	}
 	return named, nil
 }
 
-// on tells whether a mechanism is in force.
+// enabled reports whether a feature is on.
 func (e *Engine) enabled(m Feature) bool { return !e.options.Disabled[m] }
--- a/internal/sched/drive/gang.go
+++ b/internal/sched/drive/gang.go
@@ -1,4 +1,4 @@
-// This file defines how gangs are placed.
+// This file defines gang scheduling.
 
 package drive
 
@@ -10,13 +10,13 @@
 	"sycamoredeck.example/internal/store/graph"
 )
 
-// placeGang places all members or none: some alone would wait for the others
-// in vain. Their runs bear one number.
+// placeGang places all members of a gang or none, as a part of them would only wait for
+// the others. Their runs share one number.
 func (p *pass) placeGang(s *graph.Stage, rooms []*freeResources) {
 	number := uint32(0)
 	for _, t := range s.Tasks {
 		if t.Agent != "" {
-			return // members of the last run are still to end
+			return // a member of the previous run hasn't ended
 		}
 		number = max(number, t.Run)
 	}
--- a/internal/sched/drive/latency.go
+++ b/internal/sched/drive/latency.go
@@ -1,5 +1,5 @@
-// This file defines how tails are watched: what is learned of them, and when all
-// opportunistic work beside a standing run is halted.
+// This file defines how tail latencies are monitored: how the tail model is updated, and
+// when the opportunistic runs on an agent are throttled or halted.
 
 package drive
 
@@ -14,30 +14,28 @@
 )
 
 const (
-	// haltAfter is how long a standing run may be over its target until all
-	// opportunistic ones beside it stop working, however little each adds: a tail
-	// takes another second or so until it shows that, and users bear four to five
-	// seconds on end.
+	// haltAfter is how long a standing run may exceed its target before all colocated
+	// opportunistic runs are halted, however little each of them interferes. The tail
+	// latency takes about another second to recover, and users tolerate four to five
+	// seconds.
 	haltAfter = 2000 * time.Millisecond
-	// haltRegardlessAfter is the same for a run whose own load seems to be the cause. What is
-	// learned may be wrong, and where a deployment's tails were looked into, others
-	// were the cause of all time over a target.
+	// haltRegardlessAfter is the same for a run that seems to exceed its target through
+	// its own load. The model may be wrong, and interference is the more likely cause.
 	haltRegardlessAfter = 2800 * time.Millisecond
-	// minTailCheckInterval lies between two looks at an agent's tails at least. They are figures of
-	// the last half second, and an agent that lists ends is heard several times in it.
+	// minTailCheckInterval is the least time between two checks of an agent. Agents that
+	// report completions answer several times within the usageWindow.
 	minTailCheckInterval = 100 * time.Millisecond
-	// overTargetShare and underTargetShare of a target are where the time over it begins and
-	// ends: tails are told as rough figures of the last half second, and one that
-	// hovers at its target is told below it now and then.
+	// overTargetShare and underTargetShare of a target are where a period over the target
+	// begins and ends. The hysteresis covers the coarse measurements of a tail latency
+	// that stays near its target.
 	overTargetShare  = 0.97
 	underTargetShare = 0.93
-	// baselineUncertainty is how far a run's own utilization may be off, beside what is
-	// uncertain of the weights; over the target by more, others aren't the cause.
-	// It is about the deviation of one reading.
+	// baselineUncertainty is the assumed error of a run's baseline utilization, about the
+	// standard deviation of one reading. It is added to the uncertainty of the model.
 	baselineUncertainty = 0.03
-	// changeUncertainty is how much of a change of a run's use may belong to another time
-	// than it is taken for: an order takes effect a tenth of a second after it, of
-	// the three tenths between two readings.
+	// changeUncertainty is the share of a change in usage that may fall before or after
+	// the assumed time: orders take effect 100 ms after they are sent, readings are 300
+	// ms apart.
 	changeUncertainty = 0.3
 )
 
@@ -45,9 +43,9 @@
 	return cpuMillis / max(float64(r.record.CpuMillis), 1)
 }
 
-// unthrottledShare is what an opportunistic run would use at full pace. What it was
-// told to use is that of a time before it began, or before its pace changed,
-// until usageWindow after that.
+// unthrottledShare returns the CPU share that an opportunistic run would use unthrottled.
+// Its reported usage is ignored until usageWindow after it was started or throttled, as
+// it covers the time before.
 func (r *run) unthrottledShare() float64 {
 	declared := float64(r.task.Stage.Step.CpuMillis)
 	use := declared * defaultUseShare
@@ -57,8 +55,8 @@
 	return r.agent.cpuShare(use)
 }
 
-// checkTails learns from what an agent told of its standing runs, and slows or
-// lets go the opportunistic ones there.
+// checkTails updates the tail model with the readings of the agent's standing runs, and
+// throttles or releases the opportunistic runs there.
 func (e *Engine) checkTails(at *agent) {
 	if !at.hasLatencyTargets {
 		at.opportunisticHalted = false
@@ -87,13 +85,13 @@
 	e.relaxThrottles(at)
 }
 
-// hasFreshTail tells whether a standing run's tail was told just now.
+// hasFreshTail reports whether a standing run's tail latency was measured just now.
 func (e *Engine) hasFreshTail(r *run) bool {
 	return r.task.Stage.Step.TailTargetMs > 0 && r.phase == phaseRunning && r.usageAt == e.now && r.progressPercent >= 100 && r.usage > 0
 }
 
-// longestOverTarget returns a standing run that has been over its target for long, if
-// that may be through what works beside it, or for too long; else nil.
+// longestOverTarget returns a standing run that has exceeded its target for haltAfter, if
+// interference may be the cause, or for haltRegardlessAfter; otherwise nil.
 func (e *Engine) longestOverTarget(at *agent) *run {
 	var longest *run
 	for _, r := range at.sortedRuns {
@@ -114,8 +112,8 @@
 	return longest
 }
 
-// mayBeInterference tells whether a standing run could be below its target without what
-// works beside it, by what is known and how surely it is known.
+// mayBeInterference reports whether a standing run could meet its target without
+// interference, within the uncertainty of the model.
 func (e *Engine) mayBeInterference(r *run) bool {
 	step := r.task.Stage.Step
 	target := latencyTargetOf(step)
@@ -123,19 +121,18 @@
 	return e.tailModel.Level(&r.baseline) < e.tailModel.Utilization(target, target.Milliseconds)+doubt
 }
 
-// haltColocated stops all opportunistic work beside a standing run for as long as it
-// is over its target. Runs that add little each aren't slowed one by one, and
-// together they may keep a tail over its target for as long as they come; what
-// is learned may be wrong as well. One sees it by a tail that stays over its
-// target while runs beside it work. Those that add much are moved away, the others
-// wait where they are, and no others come.
+// haltColocated stops all opportunistic runs that are colocated with a standing run from
+// using the CPU while it exceeds its target. It covers runs that are each below
+// minInterference but together exceed the target, and errors of the model. Checkpointable
+// runs that interfere are evicted, the others are throttled to zero, and no new ones are
+// placed.
 func (e *Engine) haltColocated(standing *run) {
 	offenders := e.interferingRuns(standing)
 	if len(offenders) == 0 {
 		return
 	}
 	opportunisticHalts.Inc()
-	e.options.Logger.Info("all opportunistic work beside a standing run halted", "agent", standing.agent.record.Id,
+	e.options.Logger.Info("opportunistic runs halted", "agent", standing.agent.record.Id,
 		"job", standing.task.Stage.Job.ID, "step", standing.task.Stage.Index, "index", standing.task.Index, "tail_ms", standing.usage,
 		"target_ms", standing.task.Stage.Step.TailTargetMs, "over", e.now-standing.overTargetSince, "runs", len(offenders))
 	for _, r := range offenders {
@@ -147,8 +144,8 @@
 	standing.agent.throttleChangedAt = e.now
 }
 
-// mostDegraded returns the standing run that opportunistic ones take farthest over
-// the part of its target from which on they are slowed, or nil.
+// mostDegraded returns the standing run that interference takes farthest above
+// throttleAboveShare of its target, or nil.
 func (e *Engine) mostDegraded(at *agent) *run {
 	var worst *run
 	worstOver := 0.0
@@ -164,8 +161,8 @@
 	return worst
 }
 
-// excess is by how much the utilization of a standing run is expected to be over
-// that at a share of its target, when a change of pace made now shows.
+// excessUtilization returns by how much the utilization of a standing run is predicted to
+// exceed that at a share of its target, by the time a throttle ordered now takes effect.
 func (e *Engine) excessUtilization(r *run, share float64) float64 {
 	target := latencyTargetOf(r.task.Stage.Step)
 	busy := e.tailModel.Predict(&r.baseline, e.now+throttleLookahead) + e.tailModel.Interference(target.Image, r.agent.colocated)
@@ -176,7 +173,8 @@
 	return tails.Target{Image: step.Image, Milliseconds: float64(step.TailTargetMs)}
 }
 
-// recordColocated notes what the opportunistic runs on an agent use now, by image.
+// recordColocated updates the current CPU shares of the agent's opportunistic runs, by
+// image.
 func (r *agent) recordColocated() {
 	if r.colocated == nil {
 		r.colocated = tails.Load{}
@@ -189,7 +187,7 @@
 	}
 }
 
-// updateTailModel learns from the readings of an agent's standing runs.
+// updateTailModel feeds the readings of the agent's standing runs to the tail model.
 func (e *Engine) updateTailModel(at *agent) {
 	if e.now-at.tailsRecordedAt < tails.MinReadingInterval {
 		return
@@ -203,8 +201,8 @@
 	at.lastShares, at.tailsRecordedAt = latest, e.now
 }
 
-// colocatedSince is what each opportunistic run uses now, what the images of all used
-// on average since the latest reading, and how far that may be off.
+// colocatedSince returns the current CPU share of each opportunistic run, and by image
+// the mean shares since the previous readings and their uncertainty.
 func (r *agent) colocatedSince(now time.Duration) (latest map[*run]float64, beside, unsure tails.Load) {
 	latest, beside, unsure = map[*run]float64{}, tails.Load{}, tails.Load{}
 	for _, known := range r.sortedRuns {
@@ -222,7 +220,7 @@
 			continue
 		}
 		share := r.lastShares[known]
-		// What has ended since worked for some part of the time.
+		// A run that ended in between has run for an unknown part of the interval.
 		image := known.task.Stage.Step.Image
 		beside[image] += share / 2
 		unsure[image] += share / 2
@@ -230,14 +228,13 @@
 	return latest, beside, unsure
 }
 
-// currentShare is the share of its agent's processors that an opportunistic run uses,
-// also while what it told is of a time before it began or its pace changed.
+// currentShare returns the share of the agent's CPU that an opportunistic run uses now.
 func (r *run) currentShare() float64 {
 	return r.unthrottledShare() * float64(max(r.cpuPercent, 0)) / fullPercent
 }
 
-// meanShareSince is what a run used on average since a time, by what it uses now, and
-// how far that may be off.
+// meanShareSince returns the mean CPU share of a run since from, given its current share,
+// and the uncertainty of that mean.
 func (r *run) meanShareSince(from, now time.Duration, share float64) (mean, off float64) {
 	changed := max(r.startedAt, r.throttledAt)
 	if changed <= from || now <= from {
@@ -251,8 +248,8 @@
 	return earlier + (share-earlier)*part, math.Abs(share-earlier) * changeUncertainty
 }
 
-// recordTail learns from one reading of a standing run. A reading is compared
-// with the one before only if both were taken with those of its agent.
+// recordTail feeds one reading of a standing run to the tail model. Readings are compared
+// with the previous one only if that was part of the agent's previous update.
 func (e *Engine) recordTail(r *run, beside, unsure tails.Load) {
 	if r.baseline.At != r.agent.tailsRecordedAt {
 		r.baseline.Valid = false
--- a/internal/sched/drive/lost.go
+++ b/internal/sched/drive/lost.go
@@ -1,5 +1,4 @@
-// This file defines what becomes of the runs that end with their agent, and what is
-// told of them.
+// This file defines how runs are ended whose agent is lost.
 
 package drive
 
@@ -14,38 +13,35 @@
 )
 
 const (
-	// maxLostListed bounds the runs that one log line names; each takes about 40 bytes.
+	// maxLostListed limits the runs in one log line; each takes about 40 bytes.
 	maxLostListed = 40
-	// startWindow is for how long an agent has told that a run is there while it counts as
-	// just started. Where nothing ends, runs are listed each 1.5 s, so that a run which
-	// was listed twice has started.
+	// startWindow is how long after its first confirmation a run counts as just started.
+	// Idle agents report every 1.5 s, so a run that was listed twice has started.
 	startWindow = time.Second
-	// crashBlameWindow is how long an agent has to have told that a run is there before its
-	// end isn't put down to the run at all: far more than startWindow, far less than the
-	// days that agents live. Standing tasks, which may see many agents go, aren't blamed
-	// for them.
+	// crashBlameWindow is how long after its first confirmation a run may be blamed for a
+	// crash of its agent. Standing tasks outlive it and so aren't blamed for the many
+	// agents that they see fail.
 	crashBlameWindow = 10 * time.Second
 )
 
-// departure tells on what ground an agent is taken for gone.
+// dropCause is the reason for dropping an agent.
 type dropCause int
 
 const (
-	// unreachable: it can't be reached, and its leases have run out. It may live on.
+	// unreachable: the agent doesn't answer and its leases have expired. It may still
+	// exist.
 	unreachable dropCause = iota
-	// replaced: its successor is at its address, so that it has surely ended.
+	// superseded: a successor runs at its address, so its process has ended.
 	superseded
 )
 
-// endLostRuns ends the runs of an agent that is given up, before it is dropped, where
-// there is more to keep of them than that they are gone: the latest checkpoint, and
-// that the agent may have crashed under them. An agent that said that it leaves has
-// ended as it said; one that fell silent without closing its connections was cut off, or
-// went down with its instance, and what ran there isn't blamed: where agents are cut off
-// again and again and start anew behind the cut, jobs that did nothing would fail. Of one
-// that this leader never heard nothing is known, and it counts. For a task that was seen
-// to end an agent those that fell silent under it count too: connections may go silent
-// just before.
+// endLostRuns ends the runs of an agent before it is dropped, if more has to be recorded
+// than their loss: a checkpoint, or that the run may have crashed the agent. No run is
+// blamed if the agent had announced that it leaves, or if it became unreachable without
+// closing its connections, as in a network partition or when its machine goes down;
+// otherwise repeated partitions would fail jobs that did nothing wrong. An agent that
+// never answered this leader counts as crashed. For a task that was blamed before, every
+// loss counts, as connections may time out just before a crash.
 func (e *Engine) endLostRuns(at *agent, why dropCause) {
 	crashed := why == superseded && !at.record.Leaving
 	seen := at.connectionClosed || !at.synced
@@ -59,7 +55,7 @@
 			outcome = r.crashOutcome()
 		}
 		if outcome == wire.RunOutcome_RUN_OUTCOME_LOST && r.checkpoint == "" {
-			continue // that it is gone is told by dropping the agent
+			continue // dropping the agent records the loss
 		}
 		r.endPending = true
 		ends = append(ends, &wire.RunEnd{Id: r.id(), Agent: at.record.Id, Outcome: outcome, Checkpoint: r.checkpoint})
@@ -69,8 +65,8 @@
 	}
 }
 
-// abandonRuns ends all runs on a silent agent whose lease has run out. The agent stays
-// registered: one that was cut off is used again once it answers.
+// abandonRuns ends all runs on an unreachable agent whose lease has expired. The agent
+// stays registered and is used again once it answers.
 func (e *Engine) abandonRuns(at *agent) {
 	var ends []*wire.RunEnd
 	var lost []*run
@@ -86,7 +82,7 @@
 	}
 	agentsDropped.Inc()
 	runsLost.Add(len(lost))
-	e.options.Logger.Info("agent given up", "agent", at.record.Id, "address", at.record.Address, "reason", "silent until its lease had surely run out",
+	e.options.Logger.Info("agent lease expired", "agent", at.record.Id, "address", at.record.Address, "reason", "unreachable until its lease expired",
 		"runs", len(lost), "silent", e.now-at.answeredAt, "lost", formatLost(at))
 	for _, r := range lost {
 		r.endPending = true
@@ -98,10 +94,10 @@
 	})
 }
 
-// crashOutcome is how a run ended whose agent has crashed. A start without an answer
-// may never have reached the agent, which may have been dark by then, so it counts less
-// than one that the agent took. A task that ends agents before they answer is still
-// given up, two agents later.
+// crashOutcome returns the outcome of a run whose agent crashed. A start without an
+// answer may never have reached the agent, so it counts less than one that was confirmed.
+// A task that crashes agents before they can answer still fails its job, two agents
+// later.
 func (r *run) crashOutcome() wire.RunOutcome {
 	neverSent := r.startsSent == 0 && r.phase != phaseUnknown
 	switch {
@@ -114,14 +110,12 @@
 	}
 }
 
-// confirmedFor is for how long the agent has told that the run is there; 0 for one that it
-// never told of, or but once.
+// confirmedFor returns the time between the first and the latest confirmation of the run.
 func (r *run) confirmedFor() time.Duration { return r.confirmedAt - r.firstConfirmedAt }
 
-// formatLost lists the runs on an agent that is given up, those seen for the shortest
-// time first, each as TASK#RUN:SEEN:CRASHES with the crashes before this one. A task
-// that ends its agents stands near the front of each of these lines; one that was only
-// there is found in one of them.
+// formatLost lists the runs of a lost agent for logs, those confirmed for the shortest
+// time first, each as TASK#RUN:CONFIRMED:CRASHES, with the crashes before this one. A
+// task that crashes its agents is near the front of several such lines.
 func formatLost(at *agent) string {
 	runs := slices.Clone(at.sortedRuns)
 	slices.SortStableFunc(runs, func(a, b *run) int {
--- a/internal/sched/drive/metrics.go
+++ b/internal/sched/drive/metrics.go
@@ -1,4 +1,4 @@
-// This file defines the counters of what the leader orders and learns.
+// This file defines the metrics of the scheduling engine.
 
 package drive
 
@@ -19,16 +19,16 @@
 	runsEvicted        = metrics.NewCounter("sycamoredeck_runs_moved_away_total")
 	opportunisticHalts = metrics.NewCounter("sycamoredeck_opportunistic_halts_total")
 	reportsIgnored     = metrics.NewCounter("sycamoredeck_agent_reports_ignored_total")
-	// staleReports counts reports under ids that were given up, endsSkipped ends that
-	// were left out by their number although nothing is known of them.
+	// staleReports counts heartbeats of removed agents, endsSkipped completions that were
+	// skipped by their number although their run is considered present.
 	staleReports = metrics.NewCounter("sycamoredeck_agent_reports_overlooked_total")
 	endsSkipped  = metrics.NewCounter("sycamoredeck_run_ends_skipped_total")
 	runsStalled  = metrics.NewCounter("sycamoredeck_runs_stalled_total")
 	readyToStart = metrics.NewHistogram("sycamoredeck_task_wait_seconds")
 )
 
-// outcomeNames name outcomes for logs and counters, outcomeCounters count them. They are
-// made once, since thousands of runs end in a second.
+// outcomeNames and outcomeCounters are precomputed, as thousands of runs may end in a
+// second.
 var (
 	outcomeNames    = map[wire.RunOutcome]string{}
 	outcomeCounters = map[wire.RunOutcome]*metrics.Counter{}
@@ -42,7 +42,7 @@
 	}
 }
 
-// countEnd counts a run's end, in all and by its outcome.
+// countEnd counts the end of a run, in total and by its outcome.
 func countEnd(outcome wire.RunOutcome) {
 	runsEnded.Inc()
 	outcomeCounters[outcome].Inc()
--- a/internal/sched/drive/order.go
+++ b/internal/sched/drive/order.go
@@ -1,4 +1,4 @@
-// This file defines what the leader asks of agents and what they answer.
+// This file defines the orders to agents and their answers.
 
 package drive
 
@@ -9,74 +9,73 @@
 )
 
 type (
-	// Kind tells what an order asks for.
+	// Kind is the kind of an order.
 	Kind int
 
-	// Verdict is what became of an order.
+	// Verdict is the outcome of an order.
 	Verdict int
 
-	// Order is one call to an agent. It is idempotent: the same order may be
-	// sent again.
+	// Order is one request to an agent. It is idempotent and may be sent again.
 	Order struct {
 		Kind  Kind
 		Agent *wire.Agent
-		// Incarnation is that of the process that the order is for. No other process
-		// may carry it out, also none that has the agent's id and address: its answer is
-		// OtherIncarnation then. 0 where it isn't known; the id alone has to do.
+		// Incarnation is the process that the order is for, or 0 if unknown. Any other
+		// process must not execute it, even under the same id and address, and answers
+		// OtherIncarnation.
 		Incarnation uint64
-		// Fence is the leader's term. An agent refuses a lower one than it has
-		// seen.
+		// Fence is the leader's term. An agent refuses orders with a lower fence than the
+		// highest that it has seen.
 		Fence uint64
-		// Run is what is started, stopped or paced.
+		// Run is the run to start, stop or throttle.
 		Run *wire.RunId
-		// Payload and Checkpoint belong to a start.
+		// Payload and Checkpoint are parameters of a start.
 		Payload, Checkpoint string
-		// Ticket allows a start, where the queue needs one.
+		// Ticket authorizes a start, for queues with an advice policy.
 		Ticket string
-		// Deadline is when the lease of all that runs there ends, on the
-		// agent's clock; 0 leaves it as it is.
+		// Deadline is when the lease of all runs on the agent expires, on the agent's
+		// clock; 0 leaves it unchanged.
 		Deadline time.Duration
-		// LastAcked acknowledges all ends up to this number; of a hold.
+		// LastAcked acknowledges all completions up to this number. Set for polls.
 		LastAcked uint64
-		// Wait is how long a hold's answer may wait for an end.
+		// Wait is how long the agent may hold back its answer to a poll until a run ends.
 		Wait time.Duration
-		// Percent is the share at which a paced run may work.
+		// CPUPercent is the share of its CPU that a throttled run may use.
 		CPUPercent int
-		// SentAt is when the order was handed over, on the boot clock.
+		// SentAt is when the order was sent, on the boot clock.
 		SentAt time.Duration
 	}
 
-	// Answer is what came back on an order.
+	// Answer is the answer to an order.
 	Answer struct {
 		Order   Order
 		Verdict Verdict
-		// ClockKnown tells that Clock is the agent's clock as it answered.
+		// ClockKnown indicates that Clock is the agent's clock at the time of the answer.
 		ClockKnown bool
 		Clock      time.Duration
-		// Incarnation is that of the agent that answered a hold; 0 where it isn't told.
+		// Incarnation is the process that answered a poll; 0 if unknown.
 		Incarnation uint64
 		Running     []RunStatus
 		Completions []Completion
-		// Closed tells of an order without an answer that the other end closed or refused
-		// the connection, as happens where a process has ended. One that is cut off says
-		// nothing.
+		// ConnectionClosed indicates that the order got no answer because the peer closed
+		// or refused the connection, as happens when its process has ended. An
+		// unreachable peer leaves it false.
 		ConnectionClosed bool
-		// Detail is for logs.
+		// Detail describes a failure, for logs.
 		Detail string
 	}
 
-	// RunStatus is a run that exists on an agent.
+	// RunStatus is the status of a run that is present on an agent.
 	RunStatus struct {
 		Run             *wire.RunId
 		Checkpoint      string
 		ProgressPercent int
-		// Usage is the tail latency in milliseconds of a standing task with a
-		// target, else the thousandths of a processor in use; over the last
-		// half second.
+		// Usage is, over the last half second, the tail latency in milliseconds of a
+		// standing task with a latency target; for other tasks the CPU usage in
+		// millicores.
 		Usage int
 	}
 
-	// Completion is a run that ended on an agent.
+	// Completion reports a run that ended on an agent.
 	Completion struct {
 		Number     uint64
 		Run        *wire.RunId
@@ -85,38 +84,38 @@
 	}
 )
 
-// The kinds of orders.
+// Order kinds.
 const (
-	Poll Kind = iota // renew the lease, acknowledge ends, ask what runs
+	Poll Kind = iota // renews the lease, acknowledges completions, lists runs
 	Start
 	Stop
 	Throttle
 )
 
-// The verdicts.
+// Verdicts.
 const (
-	// NoAnswer: the order may have been carried out, or may be yet.
+	// NoAnswer: the order may have been executed, or may be executed later.
 	NoAnswer Verdict = iota
-	// Unsent: the order surely didn't reach the agent.
+	// NotSent: the order did not reach the agent.
 	NotSent
-	// Accepted: it was carried out, now or before.
+	// Accepted: the order was executed, now or by an earlier copy.
 	Accepted
-	// RefusedCapacity: the agent's room doesn't suffice.
+	// RefusedCapacity: the agent lacks free resources.
 	RefusedCapacity
-	// RefusedStale: this run was stopped or has ended there.
+	// RefusedStale: the run was already stopped or has ended.
 	RefusedStale
-	// RefusedExpired: the deadline has gone by.
+	// RefusedExpired: the order arrived after its deadline.
 	RefusedExpired
-	// RefusedFence: a leader with a higher fence was there.
+	// RefusedFence: the agent has seen a higher fence.
 	RefusedFence
-	// RefusedTicket: the start's ticket doesn't hold.
+	// RefusedTicket: the ticket is not valid.
 	RefusedTicket
-	// RefusedOther: the agent won't take the order, for another reason.
+	// RefusedOther: the agent refused for another reason.
 	RefusedOther
-	// OtherIncarnation: another incarnation lives at the address.
+	// OtherIncarnation: another incarnation runs at the address.
 	OtherIncarnation
-	// NoConnection: the order surely didn't leave, for want of a connection that this
-	// process may open. It says nothing about the agent.
+	// NoConnection: the order was not sent because this process had no free connection.
+	// It says nothing about the agent.
 	NoConnection
 )
 
@@ -129,8 +128,8 @@
 	NoConnection: "no connection",
 }
 
-// String names the kind for logs.
+// String returns the name used in logs.
 func (k Kind) String() string { return kindNames[k] }
 
-// String names the verdict for logs.
+// String returns the name used in logs.
 func (v Verdict) String() string { return verdictNames[v] }
--- a/internal/sched/drive/order_test.go
+++ b/internal/sched/drive/order_test.go
@@ -75,7 +75,7 @@
 // answer gives an answer and has committed what follows from it.
 func (s *script) answer(o drive.Order, v drive.Verdict) {
 	s.engine.HandleAnswer(s.now, drive.Answer{Order: o, Verdict: v, ClockKnown: v == drive.Accepted, Clock: s.now})
-	s.engine.CommitEnds()
+	s.engine.FlushEnds()
 }
 
 // task is the only task there is.
--- a/internal/sched/drive/persist.go
+++ b/internal/sched/drive/persist.go
@@ -1,4 +1,4 @@
-// This file defines how what is learned outlives the leader that learned it.
+// This file defines how estimates are handed on to later leaders.
 
 package drive
 
@@ -11,13 +11,12 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// saveInterval is how often what is learned is committed, if it changed: a leader
-// that is lost takes at most so much of what it learned with it.
+// saveInterval is the interval at which changed estimates are committed; a failed leader
+// loses no more than that.
 const saveInterval = 2 * time.Second
 
-// recall takes over what earlier leaders learned. Without it each change of leader
-// costs what the first seconds of a day cost: all pairs of images are tried again,
-// those that harm too.
+// restoreEstimates loads the estimates of earlier leaders. Without them every pair of
+// images would be tried again after a change of leader, including those that interfere.
 func (e *Engine) restoreEstimates() {
 	e.savedEstimates = e.graph.Estimates()
 	e.nextSave = e.now + saveInterval
@@ -26,7 +25,7 @@
 	}
 }
 
-// remember has what is learned committed now and then.
+// saveEstimates commits the estimates if they have changed.
 func (e *Engine) saveEstimates() {
 	if e.now < e.nextSave || !e.enabled(PersistEstimates) {
 		return
--- a/internal/sched/drive/place.go
+++ b/internal/sched/drive/place.go
@@ -1,4 +1,4 @@
-// This file defines which task goes where.
+// This file defines how tasks are assigned to agents.
 
 package drive
 
@@ -13,42 +13,42 @@
 )
 
 const (
-	// maxPlacements bounds one proposal, so that one burst doesn't hold up the
-	// log for long; 300 placements are about 15 KB.
+	// maxPlacements limits one proposal so that a burst doesn't block the log; 300
+	// placements are about 15 KB.
 	maxPlacements = 300
-	// similarityGain is what an agent full of standing tasks of the same image is
-	// worth to another of them, in run times; more than an empty agent is.
+	// similarityGain is the gain, in run times, of placing a standing task on an agent
+	// that is full of standing tasks with the same image. It outweighs an empty agent.
 	similarityGain = 3.0
-	// interferenceCost is what it costs, in run times, to take the standing tasks on an
-	// agent from idle to fully utilized.
+	// interferenceCost is the cost, in run times, of raising the utilization of the
+	// standing tasks on an agent from 0 to 1.
 	interferenceCost = 8.0
 )
 
 type (
-	// pass is one round of placing.
+	// pass is one scheduling pass.
 	pass struct {
 		engine     *Engine
-		freeByPool map[string][]*freeResources // by pool
-		summaries  map[string]*poolSummary     // by pool
+		freeByPool map[string][]*freeResources
+		summaries  map[string]*poolSummary // by pool
 		wallTime   time.Time
 		placed     []*wire.RunPlacement
-		// full remembers for which kinds of tasks no room was found in this pass, and
-		// the smallest of them; zero where there may be room.
+		// unplaceable holds, by task class, the smallest task that didn't fit on any
+		// agent in this pass; zero if there is none.
 		unplaceable []taskSize
 	}
 
-	// taskClass tells which tasks are alike but for their size.
+	// taskClass identifies tasks that differ only in size.
 	taskClass struct {
 		pool, image             string
 		opportunistic, standing bool
 	}
 
-	// need is the size of a task.
+	// taskSize is the requested resources of a task.
 	taskSize struct{ cpuMillis, memoryMB, accelerators uint64 }
 )
 
-// place proposes runs for the tasks that are ready. One proposal is under way
-// at a time: the next is planned on what became of it.
+// place runs a scheduling pass over the ready tasks and proposes the placements. Only one
+// proposal is in flight at a time, as the next pass depends on its result.
 func (e *Engine) place() {
 	if e.placementPending || e.now < e.nextPass || (!e.placementDirty && e.now < e.nextTimedCheck) {
 		return
@@ -88,8 +88,8 @@
 	return p
 }
 
-// handlePlacements orders the starts. Only now may they leave: a later
-// leader has to know of every run that may exist.
+// handlePlacements starts the runs whose placement was committed. They must not be
+// started earlier: a later leader has to know of every run that may exist.
 func (e *Engine) handlePlacements(placements []*wire.RunPlacement, res state.Result, err error) {
 	e.placementPending = false
 	if err != nil {
@@ -109,7 +109,7 @@
 		e.syncTask(at, t)
 		r := e.runs[t]
 		if e.reasonToStop(r) != "" {
-			e.resolve(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, "not wanted any more before it was ordered")
+			e.resolve(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, "cancelled before the start was sent")
 			continue
 		}
 		e.start(r)
@@ -142,8 +142,8 @@
 	}
 }
 
-// placeTasks places the tasks of a stage one by one; false when one of them, and
-// so every other like it, found no room.
+// placeTasks places the tasks of a stage one by one. It returns false if a task, and
+// therefore any other like it, fits on no agent.
 func (p *pass) placeTasks(s *graph.Stage, rooms []*freeResources) bool {
 	f := p.newSearch(s, rooms)
 	tries := p.summaries[p.engine.poolOf(s.Job)]
@@ -182,7 +182,7 @@
 	return true
 }
 
-// hasUnplaced tells whether this pass left tasks of a stage unplaced.
+// hasUnplaced reports whether this pass left tasks of a stage unplaced.
 func (p *pass) hasUnplaced(s *graph.Stage) bool {
 	placed := 0
 	for _, r := range p.placed {
@@ -201,17 +201,16 @@
 	return taskSize{step.CpuMillis, step.MemoryMb, step.Accelerators}
 }
 
-// knownUnplaceable tells whether a smaller task of the same kind found no room in this
-// pass already. Under overload most stages end here, instead of looking at
-// every agent in vain.
+// knownUnplaceable reports whether a task of the same class and at most the same size has
+// fit on no agent in this pass. Under overload this saves a search for most stages.
 func (p *pass) knownUnplaceable(r *rankedStage) bool {
 	n, step := p.unplaceable[r.class], r.stage.Step
 	return n != taskSize{} && step.CpuMillis >= n.cpuMillis && step.MemoryMb >= n.memoryMB && step.Accelerators >= n.accelerators &&
 		!step.Gang && !r.advised
 }
 
-// poolOf is where a job's tasks run: what its queue says now, or said when it
-// was taken if the queue is gone.
+// poolOf returns the pool of a job: that of its queue, or the one recorded at submission
+// if the queue no longer exists.
 func (e *Engine) poolOf(j *graph.Job) string { return e.currentPool(j.Queue, j.Pool) }
 
 func (e *Engine) currentPool(queue, accepted string) string {
@@ -232,7 +231,8 @@
 	p.placed = append(p.placed, &wire.RunPlacement{Id: id, Agent: m.agent.record.Id})
 }
 
-// recordColocated adds a newly placed task to what is expected of the tails there.
+// recordColocated updates the expected utilization of the standing tasks on an agent for
+// a newly placed task.
 func (p *pass) recordColocated(s *graph.Stage, m *freeResources) {
 	step := s.Step
 	if step.TailTargetMs == 0 && !step.Opportunistic {
@@ -251,8 +251,8 @@
 	}
 }
 
-// cost rates an agent for the tasks of a stage; lower is better. Its unit is the
-// task's run time on a sound agent near its data.
+// cost rates an agent for the tasks of a stage; lower is better. The unit is the task's
+// run time on a healthy agent in the rack of its data.
 func (p *pass) cost(s *graph.Stage, m *freeResources) float64 {
 	step := s.Step
 	cost := p.engine.estimates.expectedSlowdown(m.agent.record.Id)
@@ -267,8 +267,8 @@
 		return cost + adds*interferenceCost - m.reclaimable/max(m.capacityMillis, 1)
 	}
 	if step.Standing {
-		// Like images are disturbed by the same ones. Where they are together,
-		// there are agents left for each kind of opportunistic work.
+		// Standing tasks with the same image suffer from the same colocated images.
+		// Grouping them leaves agents for every kind of opportunistic work.
 		alike := float64(m.standingByImage[step.Image]) / float64(m.standing+1)
 		if !p.engine.enabled(GroupSimilar) {
 			alike = 0
--- a/internal/sched/drive/poll.go
+++ b/internal/sched/drive/poll.go
@@ -1,38 +1,36 @@
-// This file defines how often agents are asked what runs there, and for how long a hold
-// may wait for an end.
+// This file defines how often agents are polled, and how long a poll may wait.
 
 package drive
 
 import "time"
 
 const (
-	// maxPollWait is how long a hold waits for an end: long, since each call has
-	// its price, yet short enough that a lease is renewed several times over.
+	// maxPollWait is how long a poll waits for a completion. Longer waits mean fewer
+	// calls, but a lease has to be renewed several times before it expires.
 	maxPollWait = 1500 * time.Millisecond
-	// tailPollWait is the same where a latency target has to be watched: tails
-	// are figures of half a second.
+	// tailPollWait is the wait on agents with latency targets. Tail latencies are
+	// measured over half a second.
 	tailPollWait = 300 * time.Millisecond
-	// maxTailPollsPerSecond bounds the holds a second where tails are watched: each takes some of the
-	// leader's processor.
+	// maxTailPollsPerSecond limits the leader's CPU time for polling latency targets.
 	maxTailPollsPerSecond = 800
-	// longPollShare is the part of the connections to agents that holds may wait on. The
-	// rest is for orders, and for the agents that are only looked at.
+	// longPollShare is the share of the connections to agents that waiting polls may
+	// occupy. The rest is for orders and for polls that don't wait.
 	longPollShare = 0.5
 )
 
-// look is how an agent is asked next.
+// pollPlan determines the next poll of an agent.
 type pollPlan struct {
-	wait  time.Duration // for an end
-	pause time.Duration // after the answer
+	wait  time.Duration // for a completion
+	pause time.Duration // between the answer and the next poll
 }
 
-// planPoll is how an agent is asked next. The first look, and those at a silent agent,
-// are answered at once: they ask whether it is there.
+// planPoll returns how to poll an agent next. The first poll, and polls of an unreachable
+// agent, don't wait: they check whether the agent is there.
 //
-// A hold that waits takes up a connection for as long. Where there are too few for all
-// agents, those wait on which work is to end; the others are looked at as often, and
-// leave their connection to others meanwhile. Else agents find none, are taken for
-// silent, and lose their leases.
+// A waiting poll occupies a connection. If there are too few connections for all agents,
+// only polls of agents with runs that end by themselves wait. The others are polled
+// equally often with a pause in between, during which other agents use the connection.
+// Otherwise agents without a connection would lose their leases.
 func (e *Engine) planPoll(at *agent) pollPlan {
 	interval := maxPollWait
 	switch {
@@ -47,14 +45,14 @@
 	return pollPlan{pause: interval}
 }
 
-// connectionsLimited tells whether not all agents may have a hold wait on them.
+// connectionsLimited reports whether there are too few connections to let all polls wait.
 func (e *Engine) connectionsLimited() bool {
 	return e.options.MaxConnections > 0 && len(e.agents) > e.maxLongPolls()
 }
 
 func (e *Engine) maxLongPolls() int { return int(float64(e.options.MaxConnections) * longPollShare) }
 
-// expectsCompletion tells whether a run on the agent is to end by itself.
+// expectsCompletion reports whether a run on the agent is going to end by itself.
 func (r *agent) expectsCompletion() bool {
 	for _, known := range r.sortedRuns {
 		if !known.task.Stage.Standing() {
--- a/internal/sched/drive/queue.go
+++ b/internal/sched/drive/queue.go
@@ -1,5 +1,4 @@
-// This file defines the order in which stages are served, and how it is kept from
-// one pass of placing to the next.
+// This file defines the queue of ready stages, which is kept from one pass to the next.
 
 package drive
 
@@ -11,30 +10,29 @@
 )
 
 const (
-	// queueAgePerStage is for how long the order of stages holds, for each stage in it, and
-	// maxQueueAge at most. Between that, those that came since are put where they
-	// belong: sorting all anew in each pass takes longer than placing them.
+	// The queue is rebuilt after queueAgePerStage for each stage in it, but at most after
+	// maxQueueAge. In between, new stages are merged in: sorting all stages in each pass
+	// would take longer than placing them.
 	queueAgePerStage = 25 * time.Microsecond
 	maxQueueAge      = 100 * time.Millisecond
-	// cleanupInterval is how often what is known of stages is forgotten whose jobs have
-	// ended.
+	// cleanupInterval is the interval at which data on the stages of ended jobs is
+	// removed.
 	cleanupInterval = time.Second
 )
 
-// line is the stages that wait, in the order in which they are served. The zero
-// value is empty.
+// pendingQueue holds the ready stages in scheduling order. The zero value is empty.
 type pendingQueue struct {
-	sorted, newlySorted []rankedStage // each in order
+	sorted, newlySorted []rankedStage // each in scheduling order
 	listed              map[*graph.Stage]bool
-	rebuildAt           time.Duration // when it is made anew
+	rebuildAt           time.Duration
 	overloaded          map[string]bool
 	classes             map[taskClass]int
 }
 
 func (l *pendingQueue) empty() bool { return len(l.sorted)+len(l.newlySorted) == 0 }
 
-// each calls f with the stages in order until it returns false. Stages of which
-// nothing is left to place are passed over.
+// each calls f for each stage in order until f returns false. Stages without tasks left
+// to place are skipped.
 func (l *pendingQueue) each(f func(*rankedStage) bool) {
 	sorted, added := l.sorted, l.newlySorted
 	for len(sorted)+len(added) > 0 {
@@ -50,7 +48,7 @@
 	}
 }
 
-// kind numbers the kinds of tasks.
+// classNumber numbers the task classes.
 func (l *pendingQueue) classNumber(k taskClass) int {
 	n, known := l.classes[k]
 	if !known {
@@ -60,7 +58,7 @@
 	return n
 }
 
-// updateQueue brings the order of stages up to date.
+// updateQueue rebuilds the queue or merges the newly ready stages.
 func (e *Engine) updateQueue(wall time.Time) {
 	fresh := e.newlyReady
 	e.newlyReady = nil
@@ -96,21 +94,21 @@
 	slices.SortFunc(e.queue.sorted, compareStages)
 }
 
-// rankNew ranks a stage that came since the order was made.
+// rankNew ranks a stage that became ready after the queue was built.
 func (e *Engine) rankNew(s *graph.Stage, wall time.Time) rankedStage {
 	r := e.rank(s, wall)
 	r.overloaded = e.queue.overloaded[s.Job.Queue]
 	return r
 }
 
-// recordReady keeps since when a stage has tasks to place.
+// recordReady records when a stage first had tasks to place.
 func (e *Engine) recordReady(s *graph.Stage) {
 	if _, known := e.readySince[s]; !known {
 		e.readySince[s] = e.now
 	}
 }
 
-// removeEndedStages forgets what is known of stages whose jobs have ended.
+// removeEndedStages removes data on the stages of ended jobs.
 func (e *Engine) removeEndedStages() {
 	if e.now < e.nextCleanup {
 		return
--- a/internal/sched/drive/rank.go
+++ b/internal/sched/drive/rank.go
@@ -1,4 +1,4 @@
-// This file defines in which order stages are served.
+// This file defines the scheduling order of stages.
 
 package drive
 
@@ -14,15 +14,15 @@
 )
 
 const (
-	// lateFactor objectives are how long a job's end still has a worth.
+	// lateFactor is how many times its objective a job may take before it counts as too
+	// late.
 	lateFactor = 3
 )
 
-// markOverloaded marks the stages of queues in which more waits than can be done in
-// time. There the nearest objective is a bad guide: by the time a job is next it
-// has so little time left that it ends just too late, and the one after it too,
-// while those that could have made it grow old; and many jobs are begun of which
-// few end. One sees it by nearly all jobs ending late though many end.
+// markOverloaded marks the stages of queues with more pending work than can be done in
+// time. Under overload, ordering by the least slack fails: each job is reached when it
+// has too little time left and ends late, while others age, and many jobs are started but
+// few end in time.
 func (e *Engine) markOverloaded(list []rankedStage) {
 	queues := map[string]*backlog{}
 	for i := range list {
@@ -46,15 +46,15 @@
 }
 
 type (
-	// backlog is what waits of a queue and can be done in time, against what runs of
-	// it. Work is in thousandths of a processor times milliseconds.
+	// backlog is the pending work of a queue that can still be done in time, and its
+	// running CPU. Work is in millicores times milliseconds.
 	backlog struct {
 		running    float64
 		waiting    []demand
 		overloaded bool
 	}
 
-	// demand is work that has to be begun within a time.
+	// demand is work that has to start within a time.
 	demand struct {
 		work   float64
 		within time.Duration
@@ -76,8 +76,8 @@
 	b.waiting = append(b.waiting, demand{work, r.slack})
 }
 
-// judge finds out whether some of what waits will be begun too late, taken by the
-// nearest objective, at the pace at which the queue is served now.
+// detectOverload checks whether some of the pending work will start too late if it is
+// taken by least slack, at the rate at which the queue is served now.
 func (b *backlog) detectOverload() {
 	slices.SortFunc(b.waiting, func(x, y demand) int { return cmp.Compare(x.within, y.within) })
 	work := 0.0
@@ -90,7 +90,7 @@
 	}
 }
 
-// logPlaced says where a stage's tasks go, and on what grounds it came now.
+// logPlaced logs the placements of a stage with the criteria that ordered it.
 func (e *Engine) logPlaced(r *rankedStage, placed []*wire.RunPlacement) {
 	runsPlaced.Add(len(placed))
 	var text strings.Builder
@@ -105,34 +105,34 @@
 		"waited_ms", (e.now - e.readySince[r.stage]).Milliseconds(), "unplaced", r.stage.Unplaced, "runs", text.String())
 }
 
-// The prospects of a job.
+// Prospects of a job.
 const (
-	inTime  = iota // it can still keep its objective
-	late           // it can still end within lateFactor objectives
-	tooLate        // neither
+	inTime  = iota // it can meet its objective
+	late           // it can end within lateFactor times its objective
+	tooLate        // it can't
 )
 
 var prospectNames = [...]string{inTime: "in time", late: "late", tooLate: "too late"}
 
-// ranked is a stage with what decides when it is served.
+// rankedStage is a stage with the criteria that order it.
 type rankedStage struct {
 	stage *graph.Stage
-	// first tells that it goes before all else: standing work that ran before, and last
-	// tries, which have to find an agent where nothing has just been started.
+	// first puts a stage before all others: standing tasks that ran before, and final
+	// attempts, which need an agent without unconfirmed runs.
 	first    bool
 	priority uint32
 	prospect int
 	started  bool
-	// crowded tells that more waits in its queue than can be done in time.
+	// overloaded indicates that its queue has more pending work than can be done in time.
 	overloaded bool
 	slack      time.Duration
-	// kind numbers the kinds of tasks that are alike but for their size.
+	// class is the number of its task class.
 	class int
-	// advised tells that an outside service decides which agents may run it.
+	// advised indicates that an advice service decides which agents may run it.
 	advised bool
 }
 
-// compareStages is before as packages of the standard library want it.
+// compareStages is before as a comparison function.
 func compareStages(a, b rankedStage) int {
 	switch {
 	case a.stage == b.stage:
@@ -163,13 +163,13 @@
 	}
 }
 
-// mostSlackFirst tells whether the one with the most time left goes first among its
-// like. What has begun goes on by the nearest objective: it holds room already.
+// mostSlackFirst reports whether stages like this one are ordered by the most slack
+// first. Started jobs aren't, as they already hold resources.
 func (r *rankedStage) mostSlackFirst() bool {
 	return r.overloaded && r.prospect == inTime && !r.started
 }
 
-// rank works out what decides when a stage is served.
+// rank computes the criteria that order a stage.
 func (e *Engine) rank(s *graph.Stage, wall time.Time) rankedStage {
 	q := e.graph.Queue(s.Job.Queue)
 	begin := s.Job.AcceptedAt
@@ -195,8 +195,8 @@
 	return r
 }
 
-// objective is the time in which a job should be done whose tasks take so many times as
-// long as declared.
+// objective returns the time in which a job should be done, given the factor by which its
+// tasks take longer than declared.
 func (e *Engine) objective(s *graph.Stage, q *wire.Queue, factor float64) time.Duration {
 	var chain time.Duration
 	for _, first := range s.Job.Occurrences[s.Occurrence] {
--- a/internal/sched/drive/registration.go
+++ b/internal/sched/drive/registration.go
@@ -1,4 +1,4 @@
-// This file defines under which id an incarnation of an agent is registered.
+// This file defines the ids under which incarnations of agents are registered.
 
 package drive
 
@@ -13,16 +13,16 @@
 )
 
 var (
-	// errIncarnationMissing says that a report of an agent that tells its incarnation
-	// doesn't: a replica of an earlier version passed it on without. The agent tells
-	// another one.
+	// errIncarnationMissing rejects a report without the incarnation of an agent that has
+	// one, as forwarded by replicas of an earlier version. The agent has to use another
+	// replica.
 	errIncarnationMissing = errors.New("drive: the report doesn't tell the agent's incarnation")
-	// errIncarnationUnknown says that an agent was registered by an earlier version, which
-	// kept no incarnation, and hasn't answered this leader yet.
+	// errIncarnationUnknown rejects a report while the agent is registered without its
+	// incarnation, by an earlier version, and hasn't answered this leader yet.
 	errIncarnationUnknown = errors.New("drive: which incarnation is registered isn't known yet")
 )
 
-// agentName is the id that an agent goes by itself.
+// agentName returns the agent's own id.
 func agentName(r *wire.Agent) string {
 	if r.Name != "" {
 		return r.Name
@@ -30,16 +30,15 @@
 	return r.Id
 }
 
-// registration returns what a report says as the record of the process that sent it,
-// with the id under which that process is registered or is to be; nil where it is one
-// that has ended.
+// registration returns the record to register for a report, with the id of the process
+// that sent it; nil if that process has ended.
 //
-// An agent may start again under the id that it had, and then knows nothing of before.
-// So each process is registered by itself, the first one by the agent's id, later ones by
-// an id made of that and their incarnation. What is known of one process, its runs, the
-// numbers of its ends, its clock and its lease, is then never taken for another's; with
-// one id for both, ends were acknowledged that nobody had read, and an agent that came
-// back after its lease had run out was refused for good.
+// An agent may restart under the same id without any memory of its previous process.
+// Therefore each process is registered separately: the first under the agent's id, later
+// ones under an id made from that and their incarnation. This keeps the runs, the
+// sequence of completions, the clock and the lease of one process apart from those of
+// another. With one id for all, completions would be acknowledged that no leader has
+// read, and an agent that came back after its lease had expired would be refused forever.
 func (e *Engine) registration(told *wire.Agent) (*wire.Agent, error) {
 	first := e.graph.Agent(told.Id)
 	switch {
@@ -61,8 +60,8 @@
 	return e.newRegistration(told)
 }
 
-// isRegisteredProcess tells whether the process that is registered without its incarnation has
-// told this leader the one of a report.
+// isRegisteredProcess reports whether the process that is registered without its
+// incarnation has answered this leader with the incarnation of a report.
 func (e *Engine) isRegisteredProcess(told *wire.Agent) (bool, error) {
 	at := e.agents[told.Id]
 	if at == nil || !at.synced {
@@ -71,11 +70,10 @@
 	return at.incarnation == told.Incarnation, nil
 }
 
-// newRegistration returns the record of a process that isn't registered by the ids that
-// it would have first: under the first free one, unless it or a later process of the
-// agent is registered. One that was given up while it was cut off comes back so as well.
-// All leases that were ever sent to it have run out, so that no start of before can be
-// carried out any more.
+// newRegistration returns the record of a process that isn't registered under its regular
+// ids: under the first unused id, unless the process or a successor is registered. A
+// process that was dropped while unreachable comes back this way. All leases that were
+// sent to it have expired, so it can't execute an old start any more.
 func (e *Engine) newRegistration(told *wire.Agent) (*wire.Agent, error) {
 	for _, other := range e.graph.Agents() {
 		switch r := other.Record; {
@@ -102,8 +100,8 @@
 	return e.graph.Agent(id) == nil && !e.graph.AgentRemoved(id)
 }
 
-// successorID is the id of a process whose agent's own id is taken: the first one, or a
-// further one for a process that was given up and came back.
+// successorID returns the id of a process whose agent's own id is taken. Numbers above 1
+// are for a process that was dropped and came back.
 func successorID(told *wire.Agent, n int) string {
 	if n > 1 {
 		return fmt.Sprintf("%s@%d.%d", told.Id, told.Incarnation, n)
@@ -120,13 +118,13 @@
 	return record
 }
 
-// precedes tells whether another process is a later one of the same agent.
+// precedes reports whether other is a later process of the same agent.
 func (r *agent) precedes(other *agent) bool {
 	return agentName(r.record) == agentName(other.record) && r.incarnation < other.incarnation
 }
 
-// sameIncarnation tells whether an answer may be of the process that it was asked of. The
-// first answer of one that was registered without its incarnation tells it.
+// sameIncarnation reports whether an answer may come from the given process. If it was
+// registered without its incarnation, the first answer determines it.
 func (e *Engine) sameIncarnation(at *agent, a Answer) bool {
 	if a.Verdict != Accepted || a.Incarnation == 0 || a.Incarnation == at.incarnation {
 		return true
@@ -136,15 +134,15 @@
 	}
 	later := successorID(&wire.Agent{Id: at.record.Id, Incarnation: a.Incarnation}, 1)
 	if e.graph.Agent(later) != nil {
-		return false // the process that answered is registered by itself
+		return false // the answering process has its own registration
 	}
 	at.incarnation = a.Incarnation
 	return true
 }
 
-// handleGone takes the word that an agent has ended, which doesn't tell which of its
-// processes. It is the one that had said it leaves; where there is none, it is the late
-// word of an earlier process, and what the present one runs must not be given to others.
+// handleGone drops an agent that has shut down. The notice doesn't identify the process;
+// it is taken to be the one that announced leaving. If there is none, the notice is a
+// late one of an earlier process and must not end the runs of the current one.
 func (e *Engine) handleGone(told *wire.Agent, done func(error)) {
 	gone := e.goneProcess(told.Id)
 	if gone == nil {
@@ -155,8 +153,8 @@
 	e.options.Logger.Info("agent left", "agent", gone.Record.Id, "incarnation", gone.Record.Incarnation)
 }
 
-// goneProcess is the process that the word is taken to be of: the earliest that leaves,
-// or the one that tells no incarnation, which never shares its id.
+// goneProcess returns the process that such a notice refers to: the earliest one that is
+// leaving, or one without an incarnation, which never shares its agent's id. Nil if none.
 func (e *Engine) goneProcess(name string) *graph.Agent {
 	var gone *graph.Agent
 	for _, other := range e.graph.Agents() {
--- a/internal/sched/drive/report.go
+++ b/internal/sched/drive/report.go
@@ -1,4 +1,4 @@
-// This file defines how heartbeats of agents are taken.
+// This file defines the processing of heartbeats.
 
 package drive
 
@@ -13,12 +13,12 @@
 	"sycamoredeck.example/internal/store/state"
 )
 
-// ErrNotLeader says that another replica has to be told.
+// ErrNotLeader rejects a heartbeat that has to be sent to the leader.
 var ErrNotLeader = errors.New("drive: this replica doesn't lead")
 
-// Reported takes a heartbeat. Done is called once what it says is kept for
-// good: at once when it says nothing new. In particular that an agent leaves is
-// acknowledged only after every later leader is bound to know it.
+// HandleReport processes a heartbeat. It calls done once the content is committed, or at
+// once if it is already. An agent's announcement that it leaves is thus acknowledged only
+// after every later leader will know it.
 func (e *Engine) HandleReport(now time.Duration, report *wire.ReportAgentRequest, done func(error)) {
 	e.now = now
 	if e.term == 0 {
@@ -36,7 +36,7 @@
 	}
 	if record == nil || e.graph.AgentRemoved(record.Id) {
 		e.logStaleReport(report.Agent)
-		done(nil) // sent before it was given up; there is nothing to learn
+		done(nil) // sent before the agent was dropped
 		return
 	}
 	known := e.graph.Agent(record.Id)
@@ -71,28 +71,28 @@
 	})
 }
 
-// logStaleReport logs the first heartbeat of an incarnation that isn't to be used: it
-// was given up, or a later one is known. One is sent late; more of them are an agent that
-// lives and isn't used.
+// logStaleReport logs the first heartbeat of an incarnation that was dropped or has a
+// successor. A single one is just late; more of them indicate a live agent that is not
+// used.
 func (e *Engine) logStaleReport(record *wire.Agent) {
 	staleReports.Inc()
 	if known, logged := e.ignoredReports[record.Id]; logged && known == record.Incarnation {
 		return
 	}
 	e.ignoredReports[record.Id] = record.Incarnation
-	e.options.Logger.Info("report of an incarnation that was given up", "agent", record.Id, "address", record.Address, "incarnation", record.Incarnation)
+	e.options.Logger.Info("heartbeat from a removed incarnation", "agent", record.Id, "address", record.Address, "incarnation", record.Incarnation)
 }
 
-// markReported notes that the state holds what an agent said to this leader.
+// markReported records that the state includes a heartbeat received by this leader.
 func (e *Engine) markReported(id string) {
 	if at := e.agents[id]; at != nil {
 		at.reported = true
 	}
 }
 
-// Knows tells whether a heartbeat says no more than the replicated state of this
-// replica, so that it needn't be taken to the leader. How long a leaving agent stays
-// isn't part of that state.
+// IsRedundant reports whether a heartbeat adds nothing to the replicated state of this
+// replica and needn't be forwarded to the leader. The remaining time of a leaving agent
+// isn't replicated, so its heartbeats always are.
 func (e *Engine) IsRedundant(report *wire.ReportAgentRequest) bool {
 	if report.Gone || report.Agent.Leaving {
 		return false
@@ -105,10 +105,10 @@
 	return known != nil && sameAgent(known.Record, record)
 }
 
-// names tells whether a heartbeat names an agent that may be used. One of a pool
-// that no catalog has is taken once a catalog has it, by a later heartbeat:
-// whoever writes heartbeats could else fill the state and the log with agents
-// that nothing runs on. An incarnation keeps its address and pool.
+// registrable reports whether an agent may be registered or updated. Its pool has to be
+// in the catalog, so that heartbeats can't fill the state and the log with agents that
+// nothing runs on; it is accepted with a later heartbeat once the pool exists. The
+// address and pool of an incarnation are fixed.
 func (e *Engine) registrable(known *graph.Agent, told *wire.Agent) bool {
 	if known == nil {
 		return e.graph.Pool(told.Pool) != nil
@@ -128,7 +128,7 @@
 	e.options.Propose(&wire.Command{Body: &wire.Command_Work{Work: command}}, func(res state.Result, err error) {
 		e.placementDirty = true
 		if err == nil && errors.Is(res.Err, graph.ErrIncarnationMismatch) {
-			err = res.Err // it is to be told again, when the first one is known
+			err = res.Err // to be sent again once the first incarnation is known
 		}
 		done(err)
 	})
--- a/internal/sched/drive/reserve.go
+++ b/internal/sched/drive/reserve.go
@@ -1,5 +1,5 @@
-// This file defines how room is kept: for ordinary work against standing tasks
-// that are new, and for standing tasks that have to come back.
+// This file defines the reservation of capacity: for ordinary tasks against new standing
+// tasks, and for standing tasks that have to be restarted.
 
 package drive
 
@@ -10,38 +10,37 @@
 )
 
 const (
-	// reserveFactor is how much room is kept for ordinary work when standing
-	// tasks come: the most of it that lately ran or waited, and some.
+	// reserveFactor is the reserve for ordinary tasks relative to their recent peak
+	// demand.
 	reserveFactor = 1.2
-	// maxReserveShare is the part of a pool's processors that is kept at most. More waits at
-	// times than the whole pool could do at once; kept in full, that need would turn
-	// standing tasks away for a minute after it is gone, from agents that are idle.
+	// maxReserveShare limits the reserve to a share of a pool's CPU. The demand of a
+	// burst can exceed the pool; reserved in full, it would keep standing tasks off idle
+	// agents for a minute after the burst.
 	maxReserveShare = 0.5
-	// demandDecay is what is left of a past need after demandDecayInterval: half of it
-	// after 14 s, some bursts long.
+	// demandDecay is the factor by which the recorded peak demand decays per
+	// demandDecayInterval. Its half-life is 14 s.
 	demandDecay         = 0.95
 	demandDecayInterval = time.Second
-	// initialReserveShare is the part of a pool's processors that is kept for ordinary work
-	// until some of it was seen for initialReservePeriod.
+	// initialReserveShare is the share of a pool's CPU that is reserved for ordinary
+	// tasks until some have been seen for initialReservePeriod.
 	initialReserveShare  = 0.12
 	initialReservePeriod = 8 * time.Second
-	// demandUpdateInterval is how often the need is worked out.
+	// demandUpdateInterval is the interval at which the demand is updated.
 	demandUpdateInterval = 50 * time.Millisecond
 )
 
-// spares tells whether enough room is left for ordinary work if a new standing
-// task is placed. Standing tasks stay; without a reserve they take, one by one,
-// all that others leave for a moment, and short urgent work then waits for as
-// long as they stay.
+// leavesReserve reports whether placing a new standing task leaves the reserve for
+// ordinary tasks free. Standing tasks don't end: without a reserve they would gradually
+// occupy all the capacity that is free for a moment, and urgent short tasks would starve.
 func (p *pass) leavesReserve(s *graph.Stage) bool {
 	pool := p.engine.poolOf(s.Job)
 	left := p.summaries[pool]
 	return left != nil && left.freeMillis-float64(s.Step.CpuMillis) >= p.engine.ordinaryReserve(pool, left.capacityMillis)
 }
 
-// reserved is what is kept for ordinary work of a pool with so many processors. Standing tasks come first to a new deployment, all at once, and
-// would take all room before any ordinary work was seen; it would then wait for as
-// long as they stay. One sees it by urgent jobs that wait for seconds on a quiet day.
+// ordinaryReserve returns the CPU to reserve for the ordinary tasks of a pool with the
+// given capacity. A new deployment gets an initial reserve, as all of its standing tasks
+// may be submitted before the first ordinary ones.
 func (e *Engine) ordinaryReserve(pool string, processors float64) float64 {
 	need := e.ordinaryDemand[pool] * reserveFactor
 	if since, seen := e.ordinarySince[pool]; !seen || e.now-since < initialReservePeriod {
@@ -50,8 +49,8 @@
 	return min(need, processors*maxReserveShare)
 }
 
-// updateOrdinaryDemand keeps in mind how many processors ordinary work lately needed at
-// most, running or waiting, by pool.
+// updateOrdinaryDemand updates the recent peak demand of ordinary tasks by pool, running
+// or waiting.
 func (e *Engine) updateOrdinaryDemand(stages []*graph.Stage) {
 	if e.now < e.nextDemandUpdate {
 		return
@@ -86,10 +85,10 @@
 	}
 }
 
-// reserveForStanding lets room for a standing task that ran before, or one on its last try, grow
-// on one agent: nothing else is placed there until it fits. Its place is first in each
-// pass, but short tasks would fill every gap before it is large enough, or fresh ones
-// would always be there. The same agent is kept from pass to pass.
+// reserveForStanding reserves an agent for a standing task that ran before, or for a task
+// on its final attempt: nothing else is placed there until the task fits. Otherwise short
+// tasks would fill each gap before it is large enough. The agent stays the same over all
+// passes.
 func (p *pass) reserveForStanding(t *graph.Task, rooms []*freeResources) {
 	var best *freeResources
 	for _, m := range rooms {
--- a/internal/sched/drive/resources.go
+++ b/internal/sched/drive/resources.go
@@ -1,4 +1,4 @@
-// This file defines what room agents have for tasks.
+// This file defines the free resources of agents.
 
 package drive
 
@@ -10,48 +10,50 @@
 	"sycamoredeck.example/internal/store/graph"
 )
 
-// freeMaxAge is for how long a room is kept while nothing changes there. What standing
-// tasks use by themselves moves little in that time.
+// freeMaxAge is how long cached free resources are valid without an event. The usage of
+// standing tasks changes little in that time.
 const freeMaxAge = 250 * time.Millisecond
 
 type (
-	// room is what an agent has left while a pass places tasks.
+	// freeResources is what an agent has left for new tasks during a pass.
 	freeResources struct {
 		agent        *agent
-		cpuMillis    float64 // thousandths of a processor not promised to anyone
-		memoryMB     float64 // MB
+		cpuMillis    float64 // unreserved, in millicores
+		memoryMB     float64
 		accelerators float64
-		// idle is what opportunistic tasks may use: thousandths of a processor
-		// that others leave unused.
+		// reclaimable is the CPU that opportunistic tasks may use because other runs
+		// leave it unused, in millicores.
 		reclaimable     float64
 		capacityMillis  float64
 		standing        int
-		standingByImage map[string]int // standing tasks by image
+		standingByImage map[string]int // number of standing tasks by image
 		latencyTasks    []latencyTask
-		// tailsPredicted tells that served is worked out; it is only where a task
-		// that might disturb others could go.
+		// tailsPredicted indicates that latencyTasks is filled in, which is done only
+		// when a task that may interfere with others could be placed here.
 		tailsPredicted bool
 		tasksByStage   map[*graph.Stage]int
-		// ordinary is the cpu of ordinary tasks there, which end before long.
+		// ordinaryMillis is the CPU of ordinary tasks, which is freed when they end.
 		ordinaryMillis float64
-		// suspects are the tasks there that may end the agent, fresh the runs that it
-		// hasn't listed yet; finalAttempt tells that a suspect is on its last try.
+		// suspects counts runs suspected of crashing their agent, unconfirmed those that
+		// the agent hasn't listed yet; finalAttempt indicates a suspect on its final
+		// attempt.
 		suspects, unconfirmed int
 		finalAttempt          bool
-		// reservedFor is the stage that this room is kept clear for, or nil.
+		// reservedFor is the stage that the free resources are reserved for, or nil.
 		reservedFor *graph.Stage
 	}
 
-	// served is a standing task with a latency target on an agent.
+	// latencyTask is a standing task with a latency target on an agent.
 	latencyTask struct {
 		image string
-		// expected is its utilization with all that is placed beside it at full
-		// pace, limit what that should stay below.
+		// expectedUtilization assumes that all colocated tasks run unthrottled;
+		// utilizationLimit is what it should stay below.
 		expectedUtilization, utilizationLimit float64
 	}
 )
 
-// rooms are what each usable agent has left, by pool in the order of their ids.
+// freeResourcesByPool returns the free resources of all schedulable agents, by pool and
+// sorted by agent id.
 func (e *Engine) freeResourcesByPool() map[string][]*freeResources {
 	if e.agentsByPool == nil {
 		e.groupAgentsByPool()
@@ -75,8 +77,8 @@
 	}
 }
 
-// freeResourcesOf is what an agent has left. It is worked out anew only where something
-// changed there, and now and then where loads swing.
+// freeResourcesOf returns the free resources of an agent. They are recomputed if
+// something has changed there, or if the cached ones have reached freeMaxAge.
 func (e *Engine) freeResourcesOf(at *agent) *freeResources {
 	if at.freeStale || e.now-at.freeAt >= freeMaxAge {
 		e.recomputeFree(at)
@@ -86,8 +88,8 @@
 	return &at.free
 }
 
-// recomputeFree works out what an agent has left. A run that may exist holds its room,
-// whatever is known of it.
+// recomputeFree computes the free resources of an agent. Every run that may exist counts,
+// whatever its phase.
 func (e *Engine) recomputeFree(at *agent) {
 	c := at.record
 	m := &at.free
@@ -108,8 +110,8 @@
 	}
 }
 
-// predictTails works out what tails the standing tasks on an agent will have
-// with all that is placed beside them at full pace.
+// predictTails fills in the expected utilization of the standing tasks on an agent,
+// assuming that all colocated tasks run unthrottled.
 func (e *Engine) predictTails(m *freeResources) {
 	if m.tailsPredicted {
 		return
@@ -134,13 +136,13 @@
 	}
 }
 
-// serves is a standing task as a pass sees it.
+// newLatencyTask returns a standing task with an expected utilization of busy.
 func (e *Engine) newLatencyTask(target tails.Target, busy float64) latencyTask {
 	return latencyTask{image: target.Image, expectedUtilization: busy, utilizationLimit: e.tailModel.Utilization(target, target.Milliseconds*throttleGoalShare)}
 }
 
-// disturbs is how much a task would add to the utilizations of the standing tasks on
-// an agent, and whether all of them are expected to stay below their limits.
+// interference returns how much a task would add to the utilization of the standing tasks
+// on an agent, and whether all of them are expected to stay below their limits.
 func (p *pass) interference(s *graph.Stage, m *freeResources) (adds float64, bearable bool) {
 	p.engine.predictTails(m)
 	share := m.agent.cpuShare(float64(s.Step.CpuMillis) * defaultUseShare)
@@ -153,7 +155,7 @@
 	return adds, bearable
 }
 
-// take gives a task its place, for this pass: what became of it is known once it is
+// assume reserves the resources of a task for this pass, until its placement is
 // committed.
 func (m *freeResources) assume(t *graph.Task) {
 	m.agent.freeStale = true
@@ -162,14 +164,14 @@
 	m.reclaimable -= defaultCPU(t.Stage.Step)
 }
 
-// overdrawn tells whether an agent has less than what its runs have declared. Its room
-// may shrink after a run was placed there; a start that is sent, or sent again, then
-// would bring an agent that doesn't guard its room over it.
+// overcommitted reports whether the runs on the agent request more than its capacity,
+// which may have shrunk since they were placed. An agent that doesn't enforce its
+// capacity must not be sent further starts then.
 func (m *freeResources) overcommitted() bool {
 	return m.cpuMillis < 0 || m.memoryMB < 0 || m.accelerators < 0
 }
 
-// hold takes what a task of a stage has declared for itself alone.
+// reserve subtracts the requested resources of one task of a stage.
 func (m *freeResources) reserve(s *graph.Stage) {
 	step := s.Step
 	cpu := float64(step.CpuMillis)
@@ -188,7 +190,7 @@
 	m.tasksByStage[s]++
 }
 
-// fits tells whether a task of the stage may be placed.
+// fits reports whether a task of the stage may be placed here.
 func (m *freeResources) fits(s *graph.Stage) bool {
 	step := s.Step
 	switch {
@@ -203,8 +205,7 @@
 	}
 }
 
-// suits tells whether a task of the stage may be placed once there are enough
-// processors.
+// fitsExceptCPU reports whether a task of the stage may be placed here, given enough CPU.
 func (m *freeResources) fitsExceptCPU(s *graph.Stage) bool {
 	step := s.Step
 	switch {
--- a/internal/sched/drive/risk.go
+++ b/internal/sched/drive/risk.go
@@ -1,4 +1,4 @@
-// This file defines where tasks go that may end the agents on which they start.
+// This file defines how tasks that are suspected of crashing agents are isolated.
 
 package drive
 
@@ -10,25 +10,24 @@
 )
 
 const (
-	// colocatedSuspectCost is what it costs, in run times, to place a suspect beside
-	// another one that has just come. If the agent goes down, both are counted though one
-	// did it: more than any other ground to prefer an agent, so that suspects meet only
-	// where all agents with room have one.
+	// colocatedSuspectCost is the cost, in run times, of placing a suspect next to
+	// another one that has just started. A crash counts against both. It outweighs all
+	// other costs, so suspects share an agent only if every feasible one has a suspect.
 	colocatedSuspectCost = 10.0
-	// colocatedUnconfirmedCost is the same beside a run that the agent hasn't listed yet: any
-	// task may be one that ends agents until it has started.
+	// colocatedUnconfirmedCost is the same for each run that the agent hasn't listed yet:
+	// until it has started, any run may turn out to crash agents.
 	colocatedUnconfirmedCost = 3.0
-	// occupancyCost is what it costs, in run times, to place a suspect on an agent that is
-	// full, since all that runs there may go with it.
+	// occupancyCost is the cost, in run times, of placing a suspect on a fully occupied
+	// agent, since all of its runs are lost in a crash.
 	occupancyCost = 2.0
-	// maxFinalAttemptShare is the part of a pool's agents on which last tries may be at a time.
-	// Nothing else is placed there meanwhile; with a last try on each agent nothing would
-	// be placed at all. Agents where nothing runs aren't counted.
+	// maxFinalAttemptShare is the share of a pool's agents on which tasks may make their
+	// final attempt at the same time. Nothing else is placed on those agents meanwhile.
+	// Agents without runs don't count.
 	maxFinalAttemptShare = 0.25
 )
 
-// finalAttemptWindow is for how long a run on its last try has to be listed until a crash doesn't
-// fail its job any more.
+// finalAttemptWindow returns how long a run on its final attempt has to be confirmed
+// until a crash no longer fails its job.
 func finalAttemptWindow(t *graph.Task) time.Duration {
 	if t.Crashes < graph.MaxCrashes-1 {
 		return startWindow
@@ -36,23 +35,23 @@
 	return crashBlameWindow
 }
 
-// empty tells whether nothing runs there, nor is on its way.
+// empty reports whether the agent has no runs, started or about to start.
 func (m *freeResources) empty() bool { return len(m.agent.runs) == 0 && m.unconfirmed == 0 }
 
-// allowsFinalAttempt tells whether another agent of the pool may be given to a last try.
+// allowsFinalAttempt reports whether another agent of the pool may be used for a final
+// attempt.
 func (s *poolSummary) allowsFinalAttempt() bool {
 	return s == nil || s.finalAttempts < max(int(maxFinalAttemptShare*float64(s.agents)), 1)
 }
 
-// countFinalAttempt counts an agent that is given, or kept clear, for a last try.
+// countFinalAttempt counts an agent that is used or reserved for a final attempt.
 func (s *poolSummary) countFinalAttempt() {
 	if s != nil {
 		s.finalAttempts++
 	}
 }
 
-// doubt notes how a run that the agent has listed for a time may end it, or be counted
-// if another one does.
+// recordCrashRisk records whether a run may crash the agent, or be blamed for a crash.
 func (m *freeResources) recordCrashRisk(t *graph.Task, seenFor time.Duration) {
 	if seenFor == 0 {
 		m.unconfirmed++
@@ -65,9 +64,9 @@
 	}
 }
 
-// risk is what it costs to place a task there for what its start may do. The last try
-// of a task decides whether its job fails, so nothing that may be at fault instead is
-// there then, and nothing is placed beside it while it can be counted (see fits).
+// crashCost returns the cost of placing a task here with regard to crashes. The final
+// attempt of a task decides whether its job fails, so it is not placed next to a run that
+// might be the cause instead, and fits rejects all other tasks until it is over.
 func (m *freeResources) crashCost(t *graph.Task) float64 {
 	switch {
 	case !t.Suspect():
--- a/internal/sched/drive/run.go
+++ b/internal/sched/drive/run.go
@@ -1,5 +1,4 @@
-// This file defines what the leader knows of a run and how orders about it are
-// settled.
+// This file defines the soft state of a run and how its orders are resolved.
 
 package drive
 
@@ -14,56 +13,56 @@
 type phase int
 
 const (
-	// phaseUnknown: an earlier leader may have ordered it.
+	// phaseUnknown: an earlier leader may have started it.
 	phaseUnknown phase = iota
-	// phaseStarting: a start is on its way.
+	// phaseStarting: a start order is in flight.
 	phaseStarting
-	// phaseUnresolved: a start had no answer and may yet be carried out.
+	// phaseUnresolved: a start got no answer and may still be executed.
 	phaseUnresolved
-	// phaseRunning: the agent said that it is there.
+	// phaseRunning: the agent has confirmed the run.
 	phaseRunning
-	// phaseClosed: the agent said that it will never start it from now on; it
-	// may have ended there.
+	// phaseClosed: the agent has confirmed that it will not start the run from now on.
+	// The run may have ended there.
 	phaseClosed
 )
 
 const (
 	fullPercent = 100
-	// unknownPercent is that of a run which an earlier leader may have slowed.
+	// unknownPercent: an earlier leader may have throttled the run.
 	unknownPercent = -1
-	// startRetryInterval is the pause before a start without an answer is sent again.
+	// startRetryInterval is the pause before an unanswered start is repeated.
 	startRetryInterval = 100 * time.Millisecond
-	// stopRetryInterval is the pause before a stop without an effect is sent again;
-	// more than the agent's answer takes, less than its grace.
+	// stopRetryInterval is the pause before a stop is repeated. It is longer than the
+	// round trip and shorter than the agent's stop grace.
 	stopRetryInterval = 500 * time.Millisecond
-	// throttleRetryInterval is the pause before a pace that wasn't taken is ordered again.
+	// throttleRetryInterval is the pause before a failed throttle order is repeated.
 	throttleRetryInterval = 300 * time.Millisecond
-	// leaveMargin is how long before an agent leaves its checkpointable work is
-	// stopped, beside the time that a stop takes.
+	// leaveMargin is added to StopGrace: so long before an agent leaves, its
+	// checkpointable runs are stopped.
 	leaveMargin = 400 * time.Millisecond
 )
 
-// run is the soft state of a run that may exist.
+// run is the soft state of a run that may exist on an agent.
 type run struct {
 	task   *graph.Task
 	number uint32
 	agent  *agent
 	phase  phase
-	// sends counts the starts sent by this leader, answered those that had an
-	// answer. While they differ, a start may yet arrive.
+	// startsSent and startsAnswered count the starts of this leader and their answers.
+	// While they differ, a start may still be in flight.
 	startsSent, startsAnswered int
 	nextStart                  time.Duration
-	trackedAt                  time.Duration // when this leader first knew it
-	startedAt                  time.Duration // when it was first known to run
-	closedAt                   time.Duration // when it was closed
-	confirmedAt                time.Duration // when the agent last said that it is there
-	firstConfirmedAt           time.Duration // when it first said so; 0 before
+	trackedAt                  time.Duration // when this leader first saw it
+	startedAt                  time.Duration // when it was first known to be running
+	closedAt                   time.Duration // when it entered phaseClosed
+	confirmedAt                time.Duration // when the agent last confirmed it
+	firstConfirmedAt           time.Duration // when the agent first confirmed it; 0 before
 
 	stopReason  string
-	stopPending bool // a stop is on its way
+	stopPending bool // a stop order is in flight
 	nextStop    time.Duration
 
-	checkpoint      string // the latest that the agent told
+	checkpoint      string // the latest that the agent reported
 	progressPercent int
 	progressAt      time.Duration
 	usage           int
@@ -72,16 +71,16 @@
 	targetPercent   int
 	throttlePending bool
 	nextThrottle    time.Duration
-	throttledAt     time.Duration // when the pace last changed
-	// previousPercent is what the pace was before that.
+	throttledAt     time.Duration // when cpuPercent last changed
+	// previousPercent is cpuPercent before its last change.
 	previousPercent int
-	baseline        tails.Baseline // load of a standing run
-	// peak is what highest told at peakAt, by the reading of peakReadingAt.
+	baseline        tails.Baseline // of a standing run
+	// peakBaseline caches peakBaselineOf as of peakAt, for the reading at peakReadingAt.
 	peakBaseline          float64
 	peakReadingAt, peakAt time.Duration
-	// listedAt is when the agent last listed a run of the task, running or ended.
+	// listedAt is when the agent last listed the run as running or ended.
 	listedAt        time.Duration
-	overTargetSince time.Duration // since when its tail is over its target; 0 when it isn't
+	overTargetSince time.Duration // when its tail latency exceeded the target; 0 if it doesn't
 	endPending      bool          // its end is being committed
 }
 
@@ -100,7 +99,7 @@
 	r.confirm(now)
 }
 
-// confirm notes that the agent said that the run is there.
+// confirm records that the agent reported the run as present.
 func (r *run) confirm(now time.Duration) {
 	r.confirmedAt = now
 	if r.firstConfirmedAt == 0 {
@@ -108,24 +107,24 @@
 	}
 }
 
-// reasonToStop tells why a run should be stopped; empty when it shouldn't.
+// reasonToStop returns why a run has to be stopped, or "".
 func (e *Engine) reasonToStop(r *run) string {
 	j := r.task.Stage.Job
 	switch {
 	case j.Ended():
-		return "its job has ended"
+		return "job ended"
 	case r.task.Done:
-		return "its task is done"
+		return "task is done"
 	case r.agent.record.Leaving && e.shouldMigrate(r):
-		return "its agent is leaving"
+		return "agent is leaving"
 	default:
 		return r.stopReason
 	}
 }
 
-// shouldMigrate tells whether a run on a leaving agent should be moved now.
-// Standing work moves at once, since it would be cut off anyway; other work
-// only when it could save its progress and can't finish.
+// shouldMigrate reports whether a run has to be stopped because its agent is leaving.
+// Standing runs are stopped at once, as the shutdown would end them anyway; others
+// shortly before it, and only if they can save a checkpoint.
 func (e *Engine) shouldMigrate(r *run) bool {
 	if r.task.Stage.Standing() {
 		return true
@@ -136,14 +135,15 @@
 	return e.now > r.agent.leavesAt-e.options.StopGrace-leaveMargin
 }
 
-// reconcileRun sends what is due about one run.
+// reconcileRun sends the orders that are due for a run.
 func (e *Engine) reconcileRun(r *run) {
 	if !r.agent.synced || r.agent.dropping || r.endPending {
 		return
 	}
 	if reason := e.reasonToStop(r); reason != "" {
 		e.reconcileStop(r, reason)
-		// It works on until it has stopped, which takes up to the grace.
+		// The run uses the CPU until it has stopped, which can take the whole grace
+		// period.
 		if r.phase == phaseRunning && r.targetPercent == 0 {
 			e.reconcileThrottle(r)
 		}
@@ -153,9 +153,9 @@
 	case phaseUnresolved:
 		switch {
 		case r.agent.failedPolls > 0 && r.startsSent == r.startsAnswered:
-			e.resolve(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, "its agent fell silent before the start had left")
+			e.resolve(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, "agent unreachable before the start was sent")
 		case e.now >= r.nextStart && r.agent.leaseRenewable():
-			// While holds fail too, another start would fare no better.
+			// While polls fail as well, another start is unlikely to arrive.
 			e.start(r)
 		}
 	case phaseRunning:
@@ -182,15 +182,15 @@
 	return id
 }
 
-// start sends the order, for the first time or again.
+// start sends the start order, for the first time or again.
 func (e *Engine) start(r *run) {
 	if e.drained(r.agent) {
-		e.abandonStart(r, "its agent's failure domain is drained")
+		e.abandonStart(r, "failure domain is drained")
 		return
 	}
 	if !r.agent.leaseRenewable() || !e.capacityKnown(r.agent) {
-		// Its deadline would prolong the lease of an agent that may be gone; and what isn't
-		// known to fit waits.
+		// The deadline would renew the lease of an agent that may be gone, or the agent's
+		// capacity isn't known yet.
 		r.phase, r.nextStart = phaseUnresolved, e.now+startRetryInterval
 		return
 	}
@@ -200,15 +200,15 @@
 		return
 	}
 	if !e.enforcesCapacity(r.agent) && e.freeResourcesOf(r.agent).overcommitted() {
-		e.abandonStart(r, "its agent's room has shrunk")
+		e.abandonStart(r, "agent capacity shrank")
 		return
 	}
 	ticket := ""
 	if e.advicePolicyOf(r.task.Stage) != nil {
 		var holds bool
 		if ticket, holds = e.ticketFor(r.task.Stage, r.agent.record.Id); !holds {
-			// It has run out, or isn't known to this leader.
-			e.abandonStart(r, "no ticket that holds")
+			// The ticket has expired, or an earlier leader got it.
+			e.abandonStart(r, "no valid ticket")
 			return
 		}
 	}
@@ -223,8 +223,8 @@
 	})
 }
 
-// abandonStart gives up a run that isn't to be started any more: at once if every start
-// that was sent was refused, else after a stop has closed it.
+// abandonStart cancels a run that must not be started any more: at once if every start
+// that was sent was refused, otherwise after a stop has closed it.
 func (e *Engine) abandonStart(r *run, reason string) {
 	if r.startsSent == r.startsAnswered {
 		e.resolve(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, reason)
@@ -255,7 +255,7 @@
 		return
 	}
 	if a.Verdict != Accepted {
-		e.options.Logger.Info("start not taken", "job", a.Order.Run.Job, "step", a.Order.Run.Step, "index", a.Order.Run.Index,
+		e.options.Logger.Info("start refused or unanswered", "job", a.Order.Run.Job, "step", a.Order.Run.Step, "index", a.Order.Run.Index,
 			"run", r.number, "agent", at.record.Id, "verdict", a.Verdict.String(), "detail", a.Detail, "sends", r.startsSent)
 	}
 	switch a.Verdict {
@@ -263,7 +263,7 @@
 		r.phase = phaseRunning
 		r.startedAt, r.progressAt = e.now, e.now
 		r.confirm(e.now)
-		at.nextPoll = e.now // its end is waited for
+		at.nextPoll = e.now // to learn of its completion
 		if since, ok := e.readySince[r.task.Stage]; ok && r.number == 1 {
 			readyToStart.Update((e.now - since).Seconds())
 		}
@@ -281,15 +281,15 @@
 	}
 }
 
-// resolveRefusedStart settles a start that was surely not carried out. If an earlier
-// copy had no answer it may yet arrive, so the run is closed by a stop first.
+// resolveRefusedStart ends a run whose start was refused. While an earlier copy of the
+// start is unanswered it may still arrive, so the run is closed by a stop first.
 func (e *Engine) resolveRefusedStart(r *run, a Answer) {
 	if r.startsSent == r.startsAnswered {
 		e.resolve(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, a.Verdict.String())
 		return
 	}
 	r.phase, r.nextStart = phaseUnresolved, e.now+startRetryInterval
-	r.stopReason = "its start was refused while a copy of it may be on its way"
+	r.stopReason = "start refused while an earlier copy may be in flight"
 }
 
 func (e *Engine) handleStopAnswer(at *agent, a Answer) {
@@ -299,17 +299,16 @@
 	}
 	r.stopPending, r.nextStop = false, e.now+stopRetryInterval
 	if a.Verdict != Accepted {
-		e.options.Logger.Info("stop not taken", "job", a.Order.Run.Job, "run", r.number, "agent", at.record.Id, "verdict", a.Verdict.String(), "detail", a.Detail)
+		e.options.Logger.Info("stop refused or unanswered", "job", a.Order.Run.Job, "run", r.number, "agent", at.record.Id, "verdict", a.Verdict.String(), "detail", a.Detail)
 		return
 	}
 	r.phase, r.closedAt = phaseClosed, e.now
 }
 
-// resolveMissingRuns settles the runs that the agent doesn't list, by what is
-// known of their orders.
+// resolveMissingRuns resolves the runs that are missing from the agent's report.
 func (e *Engine) resolveMissingRuns(at *agent, a Answer) {
 	if len(a.Completions) >= maxListedCompletions {
-		return // the list may be cut off
+		return // the list may be truncated
 	}
 	for _, r := range at.sortedRuns {
 		if r.listedAt == e.now || r.endPending {
@@ -319,36 +318,36 @@
 	}
 }
 
-// maxListedCompletions is how many ends an agent lists at once.
+// maxListedCompletions is the longest list of completions in one answer.
 const maxListedCompletions = 500
 
 func (e *Engine) resolveMissingRun(r *run, askedAt time.Duration) {
 	switch r.phase {
 	case phaseUnknown:
-		// Under this leader's fence no earlier order can be carried out any
-		// more, and the run isn't there: it never began.
+		// The agent refuses orders of earlier leaders and doesn't list the run, so it was
+		// never started.
 		if e.reasonToStop(r) != "" {
-			e.resolve(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, "an earlier leader's order never arrived")
+			e.resolve(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, "start of an earlier leader never arrived")
 			return
 		}
 		e.start(r)
 	case phaseClosed:
 		if askedAt >= r.closedAt {
-			e.resolve(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, "closed and not there")
+			e.resolve(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, "closed and missing from agent report")
 		}
 	case phaseRunning:
 		if askedAt >= r.confirmedAt {
-			e.resolve(r, wire.RunOutcome_RUN_OUTCOME_LOST, "was there and isn't any more")
+			e.resolve(r, wire.RunOutcome_RUN_OUTCOME_LOST, "missing from agent report")
 		}
 	case phaseStarting, phaseUnresolved:
 	}
 }
 
-// settle commits an end that no agent lists.
+// resolve commits the end of a run that the agent didn't report.
 func (e *Engine) resolve(r *run, outcome wire.RunOutcome, reason string) {
 	r.endPending = true
 	id := r.id()
-	e.options.Logger.Info("run settled", "job", id.Job, "step", id.Step, "index", id.Index, "run", id.Run, "agent", r.agent.record.Id, "outcome", outcome.String(), "reason", reason)
+	e.options.Logger.Info("run resolved without report", "job", id.Job, "step", id.Step, "index", id.Index, "run", id.Run, "agent", r.agent.record.Id, "outcome", outcome.String(), "reason", reason)
 	end := &wire.RunEnd{Id: id, Agent: r.agent.record.Id, Outcome: outcome}
 	e.commitEnds([]*wire.RunEnd{end}, func(ok bool) {
 		if !ok {
--- a/internal/sched/drive/search.go
+++ b/internal/sched/drive/search.go
@@ -1,4 +1,4 @@
-// This file defines how an agent is found for the tasks of a stage.
+// This file defines the search for an agent for the tasks of a stage.
 
 package drive
 
@@ -9,48 +9,47 @@
 )
 
 const (
-	// baseSampleSize is how many agents with room are rated for a stage, beside
-	// samplePerTask for each of its tasks. The best of some hundred is nearly the best
-	// of thousands, and each rating looks at all that runs there: the relaxed
-	// randomization of Verma et al., Large-scale cluster management at Google with
-	// Borg (2015). Up to that many agents all are rated.
+	// baseSampleSize, plus samplePerTask for each task of the stage, is how many feasible
+	// agents are rated; with fewer agents all are. The best of a large sample is close to
+	// the best overall, at a fraction of the cost: the relaxed randomization of Verma et
+	// al., Large-scale cluster management at Google with Borg (2015).
 	baseSampleSize = 100
 	samplePerTask  = 2
-	// repeatFailureCost is what it costs, in run times, to run a task again on the
-	// agent where it failed last.
+	// repeatFailureCost is the cost, in run times, of running a task again on the agent
+	// where it failed last.
 	repeatFailureCost = 2
 )
 
 type (
-	// search finds agents for the tasks of one stage. They are alike, so each agent is
-	// rated once for all of them, and anew only when one has taken its place there:
-	// the equivalence classes of the same paper.
+	// search finds agents for the tasks of one stage. The tasks are equivalent, so an
+	// agent is rated once for all of them, and again only after a task was assigned to
+	// it: the equivalence classes of the same paper.
 	search struct {
 		pass        *pass
 		stage       *graph.Stage
 		free        []*freeResources
-		next        int // the room that is looked at next
-		remaining   int // rooms that weren't looked at
-		sampleLimit int // rooms that are rated before the best is taken
+		next        int // index of the next agent to rate
+		remaining   int // agents that weren't considered
+		sampleLimit int // number of ratings before the best is taken
 		ratings     []rating
 	}
 
-	// rating is a room that fits and what it costs to place a task there.
+	// rating is the cost of placing a task on a feasible agent.
 	rating struct {
 		free  *freeResources
-		index int // its place among the rooms
+		index int // in search.free, to break ties
 		cost  float64
 	}
 
-	// spare is what all usable agents of a pool have left, in thousandths of a
-	// processor.
+	// poolSummary sums up the free resources of all schedulable agents of a pool, in
+	// millicores.
 	poolSummary struct {
 		freeMillis, capacityMillis float64
-		// largestFree and largestReclaimable are the most that one of them has, for ordinary and for
-		// opportunistic tasks.
+		// largestFree and largestReclaimable are the maxima over the agents, for ordinary
+		// and for opportunistic tasks.
 		largestFree, largestReclaimable float64
-		// agents is how many there are, finalAttempts on how many of them a task is on its last
-		// try.
+		// agents counts the agents, finalAttempts those used for a task on its final
+		// attempt.
 		agents, finalAttempts int
 	}
 )
@@ -69,14 +68,14 @@
 	return s
 }
 
-// take counts a task that found its place.
+// assume subtracts a task that was placed.
 func (s *poolSummary) assume(stage *graph.Stage) {
 	if !stage.Step.Opportunistic {
 		s.freeMillis -= float64(stage.Step.CpuMillis)
 	}
 }
 
-// holds tells whether any agent might have the processors for a task of a stage.
+// mayFit reports whether any agent may have enough CPU for a task of the stage.
 func (s *poolSummary) mayFit(stage *graph.Stage) bool {
 	if s == nil {
 		return true
@@ -92,8 +91,8 @@
 	if !p.summaries[p.engine.poolOf(s.Job)].mayFit(s) {
 		f.remaining = 0
 	}
-	// Where few agents are good for a stage a sample would miss them: those near
-	// its data, and those where standing tasks like it are.
+	// A sample would miss the few agents that are much better than others: those in the
+	// rack of the data, or those with similar standing tasks.
 	alike := s.Standing() || s.Step.DataRack != ""
 	if sample := baseSampleSize + samplePerTask*s.Unplaced; !alike && sample < len(rooms) {
 		f.sampleLimit = sample
@@ -102,7 +101,7 @@
 	return f
 }
 
-// look rates rooms until the sample is full.
+// rateMore rates agents until the sample is complete.
 func (f *search) rateMore() {
 	begun := f.remaining
 	for f.remaining > 0 && len(f.ratings) < f.sampleLimit {
@@ -118,7 +117,7 @@
 	f.pass.engine.searchOffset += begun - f.remaining
 }
 
-// best returns the agent that a task is best placed on, or nil.
+// best returns the agent with the lowest cost for a task, or nil if none is feasible.
 func (f *search) best(t *graph.Task) *freeResources {
 	for {
 		var best *rating
@@ -141,7 +140,7 @@
 	}
 }
 
-// costOf is what it costs to place one task there, by what became of it before.
+// costOf returns the cost of placing one task, given its earlier runs.
 func (r *rating) costOf(t *graph.Task) float64 {
 	id := r.free.agent.record.Id
 	if t.AvoidAgent == id && t.Stage.Step.Opportunistic {
@@ -154,7 +153,7 @@
 	return cost
 }
 
-// taken rates a room anew that has taken a task.
+// updateRating rates an agent again after a task was assigned to it.
 func (f *search) updateRating(m *freeResources) {
 	for i := range f.ratings {
 		if f.ratings[i].free != m {
@@ -175,5 +174,5 @@
 	}
 }
 
-// none tells whether there is no room for any task like those of the stage.
+// exhausted reports whether no agent fits any task of the stage.
 func (f *search) exhausted() bool { return len(f.ratings) == 0 && f.remaining == 0 }
--- a/internal/sched/drive/sim_test.go
+++ b/internal/sched/drive/sim_test.go
@@ -32,7 +32,7 @@
 	// its agent can be reached and there is a leader: until it is seen, stopped, and
 	// one order of each kind was lost.
 	unwantedTime = 7 * time.Second
-	// capacityKnown is how long after a room has shrunk starts may bring its agent over it:
+	// roomKnown is how long after a room has shrunk starts may bring its agent over it:
 	// one heartbeat and the three seconds in which the leader surely hears of it.
 	roomKnown = simBeat + 3*time.Second
 	// maxCrashesSeen is how many agents a task may have ended at most when it is started
@@ -403,7 +403,7 @@
 		}
 		s.engine.Tick(s.now)
 		s.checkUnwanted()
-		if err := s.engine.CheckKept(); err != nil {
+		if err := s.engine.CheckCaches(); err != nil {
 			s.check(false, "%v", err)
 		}
 	}
--- a/internal/sched/drive/sort.go
+++ b/internal/sched/drive/sort.go
@@ -1,4 +1,4 @@
-// This file defines the order in which agents and their runs are looked at.
+// This file defines the order in which agents and runs are processed.
 
 package drive
 
@@ -20,15 +20,14 @@
 	}
 }
 
-// addRun notes a run of a task that has none there.
+// addRun adds a run of a task that has no other run on the agent.
 func (r *agent) addRun(known *run) {
 	r.runs[known.task] = known
 	i, _ := slices.BinarySearchFunc(r.sortedRuns, known, compareRuns)
 	r.sortedRuns = slices.Insert(r.sortedRuns, i, known)
 }
 
-// removeRun forgets a run. Whoever is going over the runs goes over a list that stays
-// as it was.
+// removeRun removes a run. It copies the list, so that a caller may be iterating over it.
 func (r *agent) removeRun(known *run) {
 	delete(r.runs, known.task)
 	kept := make([]*run, 0, len(r.sortedRuns))
@@ -40,7 +39,7 @@
 	r.sortedRuns = kept
 }
 
-// agentsByID are all agents in the order of their ids.
+// agentsByID returns all agents, sorted by id.
 func (e *Engine) agentsByID() []*agent {
 	if e.sortedAgents == nil {
 		e.sortedAgents = make([]*agent, 0, len(e.agents))
--- a/internal/sched/drive/sync.go
+++ b/internal/sched/drive/sync.go
@@ -1,5 +1,5 @@
-// This file defines how the soft state follows the replicated one, and which
-// agents are looked after when.
+// This file defines how the soft state is kept in sync with the replicated state, and
+// when each agent is reconciled.
 
 package drive
 
@@ -12,18 +12,18 @@
 	"sycamoredeck.example/internal/store/graph"
 )
 
-// idleReconcileInterval is how often an agent is looked after that waits for nothing: what it
-// needs is found with the answer to a hold, of which there is one in less than two
-// seconds. This only bounds what an oversight here would cost.
+// idleReconcileInterval is the interval at which agents without pending work are
+// reconciled. Agents are also reconciled with every answer; this bounds the effect of a
+// missed event.
 const idleReconcileInterval = time.Second
 
-// loadKey names what a sum of running work is kept for.
+// loadKey identifies a sum of running work.
 type loadKey struct {
 	queue, pool string // of the job
 	ordinary    bool   // neither standing nor opportunistic
 }
 
-// syncState makes the soft state match the replicated one where that changed.
+// syncState applies the changes of the replicated state to the soft state.
 func (e *Engine) syncState() {
 	for _, id := range slices.Sorted(maps.Keys(e.changedAgents)) {
 		delete(e.changedAgents, id)
@@ -76,8 +76,8 @@
 	return loadKey{s.Job.Queue, s.Job.Pool, !s.Step.Opportunistic && !s.Step.Standing}
 }
 
-// removeEndedRuns forgets the soft state of runs whose ends were committed, so that
-// their room is free at once.
+// removeEndedRuns removes runs whose ends were committed, which frees their resources at
+// once.
 func (e *Engine) removeEndedRuns(ends []*wire.RunEnd) {
 	for _, end := range ends {
 		t := e.graph.FindTask(end.Id)
@@ -107,17 +107,17 @@
 	r.agent.markChanged()
 }
 
-// heard has an agent looked after in the next turn.
+// scheduleReconcile reconciles the agent at the next tick.
 func (r *agent) scheduleReconcile() { r.reconcileAt = 0 }
 
-// touch notes that what is on an agent changed: it is looked after in the next turn,
-// and its room is worked out anew.
+// markChanged records that the agent's runs or capacity changed. It is reconciled at the
+// next tick, and its free resources are recomputed.
 func (r *agent) markChanged() {
 	r.scheduleReconcile()
 	r.freeStale = true
 }
 
-// tend looks after the agents of which something was heard or is due.
+// reconcileAgents reconciles the agents that are due.
 func (e *Engine) reconcileAgents() {
 	for _, at := range e.agentsByID() {
 		if e.now < at.reconcileAt {
@@ -132,7 +132,7 @@
 	}
 }
 
-// nextReconcileOf is when an agent has to be looked after although nothing is heard of it.
+// nextReconcileOf returns when the agent is due if no event occurs before.
 func (e *Engine) nextReconcileOf(at *agent) time.Duration {
 	due := e.now + idleReconcileInterval
 	if !at.polling {
@@ -144,7 +144,8 @@
 	return due
 }
 
-// waits tells whether an order about a run on the agent is to be sent, or sent again.
+// hasPendingOrders reports whether an order for a run on the agent has to be sent or
+// repeated.
 func (r *agent) hasPendingOrders() bool {
 	for _, known := range r.sortedRuns {
 		if known.hasPendingOrder() {
--- a/internal/sched/drive/throttle.go
+++ b/internal/sched/drive/throttle.go
@@ -1,5 +1,5 @@
-// This file defines how opportunistic runs are kept from disturbing standing
-// ones: slowed, moved away, or let go again.
+// This file defines how opportunistic runs that interfere with standing runs are
+// throttled, evicted and released.
 
 package drive
 
@@ -9,46 +9,46 @@
 )
 
 const (
-	// throttleAboveShare of a latency target is where opportunistic work beside is
-	// slowed: below the target, since tails are told half a second late and
-	// the pace takes effect a tenth of a second after its order.
+	// throttleAboveShare of a latency target is where throttling begins. It is below the
+	// target because tail latencies are reported half a second late and a throttle takes
+	// effect 100 ms after its order.
 	throttleAboveShare = 0.85
-	// throttleGoalShare of the target is what slowing aims at, and up to which new
-	// work may be placed beside.
+	// throttleGoalShare of a latency target is what throttling aims at, and the limit for
+	// placing new colocated tasks.
 	throttleGoalShare = 0.85
-	// relaxBelowShare of the target is what is expected at most where a slowed run
-	// is let go again.
+	// relaxBelowShare of a latency target has to be predicted at most for a throttled run
+	// to be released.
 	relaxBelowShare = 0.8
-	// minThrottleInterval lies between two changes of pace on an agent: the time until
-	// one shows in the tails.
+	// minThrottleInterval is the pause between two throttle changes on an agent, until
+	// the effect of the first is visible in the tail latencies.
 	minThrottleInterval = 700 * time.Millisecond
-	// migrateBelowPercent is the pace under which a run that saves its progress is
-	// better stopped and resumed elsewhere.
+	// migrateBelowPercent is the CPU percentage below which a checkpointable run is
+	// evicted instead of throttled.
 	migrateBelowPercent = 25
-	// percentStep keeps paces to few values.
+	// percentStep is the granularity of CPU percentages.
 	percentStep = 10
-	// defaultUseShare is the part of its declared processors that a task which isn't
-	// standing uses; taken where nothing was told yet.
+	// defaultUseShare is the assumed CPU usage of a task that isn't standing, as a share
+	// of its request, until it is measured.
 	defaultUseShare = 0.8
-	// defaultUtilization is what a standing task's utilization is taken for before its
-	// first reading.
+	// defaultUtilization is the assumed utilization of a standing task until it is
+	// measured.
 	defaultUtilization = 0.5
-	// usageWindow is the time over which usage and tails are told.
+	// usageWindow is the period over which agents measure usage and tail latency.
 	usageWindow = 500 * time.Millisecond
-	// minInterference is what one run adds to a utilization at least if it is to be
-	// slowed for it or kept away. A standing task's own load takes its tail past
-	// any limit now and then; what adds nothing would be stopped for that in vain.
+	// minInterference is the least increase in utilization for which a run is throttled
+	// or kept away. A standing task can miss its target through its own load; throttling
+	// runs that contribute nothing would not help.
 	minInterference = 0.01
-	// throttleLookahead is how far ahead a tail is looked at when paces are set: until a
-	// change of pace shows in what is told.
+	// throttleLookahead is how far ahead tail latencies are predicted for throttling:
+	// until the effect of a throttle is reported.
 	throttleLookahead = 400 * time.Millisecond
-	// placementLookahead is how far ahead the peak of the standing tasks' own loads is
-	// looked for when new work is placed beside them: about its run time.
+	// placementLookahead is how far ahead the peak load of standing tasks is predicted
+	// for placing colocated tasks: about the run time of such a task.
 	placementLookahead = 2500 * time.Millisecond
 )
 
-// throttleColocated slows those opportunistic runs that add most to a standing run's
-// tail, until it is expected to keep its target again.
+// throttleColocated throttles the opportunistic runs that interfere most with a standing
+// run, until it is predicted to meet its target again.
 func (e *Engine) throttleColocated(standing *run) {
 	at := standing.agent
 	excess := e.excessUtilization(standing, throttleGoalShare)
@@ -70,30 +70,31 @@
 
 // evictInterfering stops an opportunistic run so that it resumes on another agent.
 func (e *Engine) evictInterfering(r, standing *run) {
-	r.stopReason = "it disturbs a standing run"
+	r.stopReason = "interferes with a standing run"
 	r.agent.markChanged()
 	runsEvicted.Inc()
 	r.task.AvoidAgent = r.agent.record.Id
-	e.options.Logger.Info("run moved away", "job", r.task.Stage.Job.ID, "step", r.task.Stage.Index, "index", r.task.Index, "run", r.number,
+	e.options.Logger.Info("interfering run evicted", "job", r.task.Stage.Job.ID, "step", r.task.Stage.Index, "index", r.task.Index, "run", r.number,
 		"agent", r.agent.record.Id, "disturbed", standing.task.Stage.Job.ID, "tail_ms", standing.usage)
 }
 
-// interferenceOn is what a run adds to the utilization of a standing run now.
+// interferenceOn returns how much a run currently adds to the utilization of a standing
+// run.
 func (e *Engine) interferenceOn(standing, r *run) float64 {
 	weight := e.tailModel.Weight(standing.task.Stage.Step.Image, r.task.Stage.Step.Image)
 	return weight * r.currentShare()
 }
 
-// offenders are the opportunistic runs beside a standing one, those that add
-// most first.
+// interferingRuns returns the opportunistic runs that are colocated with a standing one,
+// by decreasing interference.
 func (e *Engine) interferingRuns(standing *run) []*run {
 	list := throttleableRuns(standing.agent)
 	sort.SliceStable(list, func(i, k int) bool { return e.interferenceOn(standing, list[i]) > e.interferenceOn(standing, list[k]) })
 	return list
 }
 
-// slowable are the opportunistic runs on an agent that work and aren't being
-// stopped, by job, step and task.
+// throttleableRuns returns the opportunistic runs on an agent that use the CPU and aren't
+// being stopped, in the order of compareRuns.
 func throttleableRuns(at *agent) []*run {
 	var list []*run
 	for _, r := range at.sortedRuns {
@@ -104,7 +105,7 @@
 	return list
 }
 
-// ease lets a slowed run go again where no standing run is expected to suffer.
+// relaxThrottles releases one throttled run if all standing runs are expected to bear it.
 func (e *Engine) relaxThrottles(at *agent) {
 	for _, r := range at.sortedRuns {
 		t := r.task
@@ -119,8 +120,8 @@
 	}
 }
 
-// harmless tells whether all standing runs on an agent are expected to keep
-// their targets well with more load of an image beside them.
+// withinTargets reports whether all standing runs on an agent are predicted to stay
+// within relaxBelowShare of their targets with an additional load of an image.
 func (e *Engine) withinTargets(at *agent, image string, share float64) bool {
 	if e.expectedUtilization(at)+share > maxUtilization {
 		return false
@@ -138,7 +139,7 @@
 	return true
 }
 
-// clearThrottles ends all slowing where there is no standing run any more.
+// clearThrottles releases all throttled runs on an agent without latency targets.
 func (e *Engine) clearThrottles(at *agent) {
 	for _, r := range at.sortedRuns {
 		if r.task.Stage.Step.Opportunistic {
@@ -155,7 +156,7 @@
 	if standing != nil {
 		tail = standing.usage
 	}
-	e.options.Logger.Debug("pace changed", "job", r.task.Stage.Job.ID, "step", r.task.Stage.Index, "index", r.task.Index, "run", r.number,
+	e.options.Logger.Debug("throttle changed", "job", r.task.Stage.Job.ID, "step", r.task.Stage.Index, "index", r.task.Index, "run", r.number,
 		"agent", r.agent.record.Id, "from", r.targetPercent, "to", percent, "tail_ms", tail)
 	r.targetPercent = percent
 }
@@ -180,5 +181,5 @@
 		return
 	}
 	r.nextThrottle = e.now + throttleRetryInterval
-	e.options.Logger.Info("pace not taken", "job", a.Order.Run.Job, "run", r.number, "agent", at.record.Id, "verdict", a.Verdict.String(), "detail", a.Detail)
+	e.options.Logger.Info("throttle refused or unanswered", "job", a.Order.Run.Job, "run", r.number, "agent", at.record.Id, "verdict", a.Verdict.String(), "detail", a.Detail)
 }
--- a/internal/sched/drive/unreachable.go
+++ b/internal/sched/drive/unreachable.go
@@ -1,5 +1,5 @@
-// This file defines how the next leader learns for how long leases may still run on
-// agents that don't answer.
+// This file defines how the lease expiry of unreachable agents is handed on to later
+// leaders.
 
 package drive
 
@@ -14,17 +14,17 @@
 )
 
 const (
-	// unreachableAfter is how long an agent has to be silent until that is committed; most
-	// that miss an answer give the next one.
+	// unreachableAfter is how long an agent has to be unreachable before its lease expiry
+	// is committed. Most agents that miss one poll answer the next.
 	unreachableAfter = time.Second
-	// unreachableScanInterval is how often silent agents, and those that answer again, are looked for.
+	// unreachableScanInterval is the interval at which agents are checked for it.
 	unreachableScanInterval = 50 * time.Millisecond
 )
 
-// commitUnreachable commits by when the leases on silent agents have run out. A leader that
-// came without this would have to wait for a whole lease from its own beginning, and
-// standing work of agents that are gone would be away for as long. From the proposal on
-// the agent is granted nothing, until it is committed that it answers again.
+// commitUnreachable commits when the leases of unreachable agents expire. Otherwise a new
+// leader would have to wait for a whole lease after its election before it restarts their
+// runs. From the proposal on an agent's lease is not renewed until it has been committed
+// that the agent is reachable again.
 func (e *Engine) commitUnreachable() {
 	if e.now < e.nextUnreachableScan || e.unreachablePending {
 		return
@@ -52,7 +52,7 @@
 		func(_ state.Result, err error) {
 			e.unreachablePending = false
 			if err != nil {
-				return // those that answer are told of again; the others stay bounded
+				return // answering agents are proposed again; the others keep expiryCommitted
 			}
 			for _, at := range heard {
 				at.expiryCommitted = false
@@ -61,7 +61,7 @@
 		})
 }
 
-// silence is what is committed of an agent's silence, or nil.
+// committedExpiry returns the committed lease expiry of an agent, or nil.
 func (e *Engine) committedExpiry(at *agent) *graph.LeaseExpiry {
 	if registered := e.graph.Agent(at.record.Id); registered != nil {
 		return registered.LeaseExpiry
@@ -69,7 +69,8 @@
 	return nil
 }
 
-// lapsed tells whether every lease on a silent agent has surely run out.
+// leaseExpired reports whether every lease of an unreachable agent is certain to have
+// expired.
 func (e *Engine) leaseExpired(at *agent) bool {
 	if e.committedExpiry(at).Expired(e.now - expirySlack) {
 		return true
--- a/internal/sched/drive/utilization.go
+++ b/internal/sched/drive/utilization.go
@@ -1,5 +1,5 @@
-// This file defines how opportunistic work is kept within what the other work on
-// an agent leaves unused.
+// This file defines how much CPU opportunistic tasks may reclaim from the other tasks on
+// an agent.
 
 package drive
 
@@ -8,19 +8,16 @@
 )
 
 const (
-	// standingUseShare is the part of its declared processors that a standing task uses
-	// on average, where nothing tells of its load.
+	// standingUseShare is the assumed mean CPU usage of a standing task, as a share of
+	// its request, until it is measured.
 	standingUseShare = 0.5
-	// maxUtilization is the use of an agent's processors up to which opportunistic runs are let
-	// in. Up to 1.2 times its processors in use utilizations were 0.006 above what known
-	// pairs explain at most, on average; at 1.3 and more 0.29 (21,000 readings of one
-	// day, 10 of them there). Room up to 0.9, 1 and 1.05 of them in use gave a mean worth
-	// of 0.823, 0.832 and 0.824 (14 days each, standard error of a difference 0.006).
+	// maxUtilization limits the CPU usage of an agent up to which opportunistic tasks are
+	// placed, as a share of its capacity.
 	maxUtilization = 1.0
 )
 
-// use is how many thousandths of a processor a run is expected to use at full
-// pace, where a standing run's own load is the one given.
+// expectedCPU returns the expected CPU usage of a run without throttling, in millicores;
+// busy is the utilization of a standing run.
 func (r *run) expectedCPU(busy float64) float64 {
 	step := r.task.Stage.Step
 	switch {
@@ -33,9 +30,9 @@
 	}
 }
 
-// highest is the highest own utilization of a standing run that new work beside it
-// has to reckon with. It is kept until the next reading, for freeMaxAge at most: worked out
-// for each pass it was a fifth of what the engine does at 1,800 agents.
+// peakBaselineOf returns the predicted peak of a standing run's baseline utilization. It
+// is cached until the next reading, at most for freeMaxAge, as it is too costly to
+// compute in every pass.
 func (e *Engine) peakBaselineOf(r *run) float64 {
 	if r.peakReadingAt == r.baseline.At && e.now-r.peakAt < freeMaxAge {
 		return r.peakBaseline
@@ -49,8 +46,8 @@
 	return r.peakBaseline
 }
 
-// claim is how many thousandths of a processor a run keeps from new opportunistic
-// work.
+// claimedCPU returns the CPU that a run keeps from new opportunistic tasks, in
+// millicores.
 func (e *Engine) claimedCPU(r *run) float64 {
 	step := r.task.Stage.Step
 	switch {
@@ -63,7 +60,8 @@
 	}
 }
 
-// defaultCPU is what use is for a task that has told nothing yet.
+// defaultCPU returns the expected CPU usage of a task that wasn't measured yet, in
+// millicores.
 func defaultCPU(step *wire.Step) float64 {
 	if step.Standing {
 		return float64(step.CpuMillis) * standingUseShare
@@ -71,8 +69,9 @@
 	return float64(step.CpuMillis) * defaultUseShare
 }
 
-// crowding is what share of an agent's processors all runs there are expected to
-// use at the paces that are wanted, when a change of pace made now shows.
+// expectedUtilization returns the expected CPU usage of all runs on an agent at their
+// target percentages, as a share of its capacity, by the time a throttle ordered now
+// takes effect.
 func (e *Engine) expectedUtilization(at *agent) float64 {
 	sum := 0.0
 	for _, r := range at.sortedRuns {
