--- /dev/null
+++ b/internal/sched/drive/completions.go
@@ -0,0 +1,119 @@
+// This file defines how the ends of runs are committed.
+
+package drive
+
+import (
+	"fmt"
+	"strings"
+
+	"sycamoredeck.example/internal/schema/wire"
+	"sycamoredeck.example/internal/store/state"
+)
+
+// endBatch collects run ends to commit, and the callbacks to call afterwards.
+type endBatch struct {
+	ends []*wire.RunEnd
+	done []func(ok bool)
+}
+
+// recordCompletions commits the completions that the agent reports. They are acknowledged
+// by the first poll after the commit.
+func (e *Engine) recordCompletions(at *agent, a Answer) {
+	last := at.lastAcked
+	var ends []*wire.RunEnd
+	var skipped []Completion
+	for _, report := range a.Completions {
+		t := e.graph.FindTask(report.Run)
+		if known := at.runs[t]; known != nil {
+			known.listedAt = e.now
+		}
+		if report.Number <= at.lastAcked {
+			skipped = append(skipped, report)
+			continue
+		}
+		last = max(last, report.Number)
+		if t == nil || t.Agent != at.record.Id || t.Run != report.Run.Run {
+			continue
+		}
+		e.recordOutcome(at, t, report.Outcome)
+		ends = append(ends, &wire.RunEnd{Id: report.Run, Agent: at.record.Id, Outcome: report.Outcome, Checkpoint: report.Checkpoint})
+	}
+	e.logSkippedCompletions(at, skipped)
+	if len(ends) == 0 {
+		at.lastAcked = last
+		return
+	}
+	at.endsPending = true
+	e.commitEnds(ends, func(ok bool) {
+		at.endsPending = false
+		if ok {
+			at.lastAcked = last
+		}
+		e.reconcileAgent(at)
+	})
+}
+
+// logSkippedCompletions logs completions that were skipped by their number although the
+// run is still considered present: their number must belong to another sequence.
+func (e *Engine) logSkippedCompletions(at *agent, skipped []Completion) {
+	for _, report := range skipped {
+		r := e.findRun(at, report.Run)
+		if r == nil || r.endPending {
+			continue
+		}
+		endsSkipped.Inc()
+		e.options.Logger.Warn("completion skipped by its number", "agent", at.record.Id, "job", report.Run.Job, "step", report.Run.Step, "index", report.Run.Index,
+			"run", report.Run.Run, "outcome", report.Outcome.String(), "number", report.Number, "acknowledged", at.lastAcked, "incarnation", at.incarnation)
+	}
+}
+
+// commitEnds adds run ends to the batch that is proposed at the next tick. One log entry
+// per run would be encoded and synced separately on every replica.
+func (e *Engine) commitEnds(ends []*wire.RunEnd, done func(ok bool)) {
+	for _, end := range ends {
+		countEnd(end.Outcome)
+	}
+	e.pendingEnds.ends = append(e.pendingEnds.ends, ends...)
+	e.pendingEnds.done = append(e.pendingEnds.done, done)
+}
+
+// flushEnds proposes the pending batch.
+func (e *Engine) flushEnds() {
+	batch := e.pendingEnds
+	if len(batch.ends) == 0 {
+		return
+	}
+	e.pendingEnds = endBatch{}
+	e.options.Logger.Info("runs ended", "runs", formatEnds(batch.ends))
+	e.propose(&wire.WorkCommand{Body: &wire.WorkCommand_End{End: &wire.EndRuns{Ends: batch.ends}}}, func(_ state.Result, err error) {
+		if err == nil {
+			e.removeEndedRuns(batch.ends)
+		}
+		e.markAgentsChanged(batch.ends)
+		for _, done := range batch.done {
+			done(err == nil)
+		}
+	})
+}
+
+// markAgentsChanged marks the agents of the given ends as changed.
+func (e *Engine) markAgentsChanged(ends []*wire.RunEnd) {
+	for _, end := range ends {
+		if at := e.agents[end.Agent]; at != nil {
+			at.markChanged()
+		}
+	}
+}
+
+// formatEnds lists ends for logs, each as TASK#RUN@AGENT=OUTCOME.
+func formatEnds(ends []*wire.RunEnd) string {
+	var text strings.Builder
+	for i, end := range ends {
+		if i > 0 {
+			text.WriteByte(' ')
+		}
+		fmt.Fprintf(&text, "%s.%d.%d.%d#%d@%s=%s", end.Id.Job, end.Id.Occurrence, end.Id.Step, end.Id.Index, end.Id.Run, end.Agent,
+			outcomeNames[end.Outcome])
+	}
+	return text.String()
+}
--- /dev/null
+++ b/internal/sched/drive/estimates.go
@@ -0,0 +1,132 @@
+// This file defines the estimates of agents' speed and reliability, and stall detection.
+
+package drive
+
+import (
+	"time"
+
+	"sycamoredeck.example/internal/schema/wire"
+	"sycamoredeck.example/internal/store/graph"
+)
+
+const (
+	// newSampleWeight is the weight of a new sample in the moving averages of an agent.
+	newSampleWeight = 0.25
+	// failureCost is the cost, in run times, of an agent on which every run fails.
+	failureCost = 6.0
+	// minStallTime is the least time without progress after which a run is stalled.
+	// Progress is reported in whole percent with each poll.
+	minStallTime = 2 * time.Second
+	// stallShare is the share of a task's declared time without progress after which it
+	// is stalled. A task that is four times slower than declared gains a percent in less.
+	stallShare = 0.3
+	// startupStallTime is the same for standing tasks that don't become ready.
+	startupStallTime = 4 * time.Second
+)
+
+type (
+	// agentEstimate is the estimate of one agent.
+	agentEstimate struct {
+		slowdown    float64 // run time relative to the declared one and to the queue's durationRatio
+		failureRate float64 // share of runs that failed or stalled
+	}
+
+	// estimates are what the engine estimates from past runs. The zero value is empty.
+	estimates struct {
+		agents map[string]*agentEstimate
+		// durationRatio is the mean run time relative to the declared one, by queue.
+		// Declared times are off by queue more than by agent.
+		durationRatio map[string]float64
+		// queues and jobs estimate run times from declared ones.
+		queues map[string]*durationFit
+		jobs   map[*graph.Job]*jobDurations
+	}
+)
+
+func (l *estimates) agent(id string) *agentEstimate {
+	if l.agents == nil {
+		l.agents, l.durationRatio = map[string]*agentEstimate{}, map[string]float64{}
+		l.queues, l.jobs = map[string]*durationFit{}, map[*graph.Job]*jobDurations{}
+	}
+	if l.agents[id] == nil {
+		l.agents[id] = &agentEstimate{slowdown: 1}
+	}
+	return l.agents[id]
+}
+
+// expectedSlowdown returns the expected cost of a run on an agent, in normal run times.
+func (l *estimates) expectedSlowdown(id string) float64 {
+	r := l.agents[id]
+	if r == nil {
+		return 1
+	}
+	return max(r.slowdown, 0.5) + failureCost*r.failureRate
+}
+
+func (r *agentEstimate) recordResult(failed bool) {
+	value := 0.0
+	if failed {
+		value = 1
+	}
+	r.failureRate += (value - r.failureRate) * newSampleWeight
+}
+
+// recordOutcome updates the estimates with the end of a run. Opportunistic runs don't
+// indicate the speed of their agent, as they only get the CPU that others leave unused.
+func (e *Engine) recordOutcome(at *agent, t *graph.Task, outcome wire.RunOutcome) {
+	r := e.runs[t]
+	if r == nil {
+		return
+	}
+	learned := e.estimates.agent(at.record.Id)
+	switch outcome {
+	case wire.RunOutcome_RUN_OUTCOME_DONE:
+		learned.recordResult(false)
+		e.recordSlowdown(learned, r)
+		e.recordDuration(r)
+	case wire.RunOutcome_RUN_OUTCOME_FAILED:
+		// Standing tasks may fail at any time through no fault of the agent.
+		if !t.Stage.Standing() {
+			learned.recordResult(true)
+		}
+		e.options.Logger.Info("run failed", "job", t.Stage.Job.ID, "step", t.Stage.Index, "index", t.Index, "run", t.Run,
+			"agent", at.record.Id, "failures", t.Failures+1, "agent_failing", learned.failureRate)
+	}
+}
+
+func (e *Engine) recordSlowdown(learned *agentEstimate, r *run) {
+	step := r.task.Stage.Step
+	if step.Opportunistic || step.EstimateMs == 0 || r.startedAt == 0 || r.task.Checkpoint != "" {
+		return
+	}
+	ratio := float64((e.now - r.startedAt).Milliseconds()) / float64(step.EstimateMs)
+	queue := r.task.Stage.Job.Queue
+	usual := e.estimates.durationRatio[queue]
+	if usual == 0 {
+		usual = ratio
+	}
+	e.estimates.durationRatio[queue] = usual + (ratio-usual)*newSampleWeight/4
+	learned.slowdown += (ratio/max(usual, 0.01) - learned.slowdown) * newSampleWeight
+}
+
+// checkProgress stops a stalled run so that it is restarted elsewhere from its
+// checkpoint.
+func (e *Engine) checkProgress(r *run) {
+	step := r.task.Stage.Step
+	if r.stopReason != "" || r.progressPercent >= 100 || (step.Opportunistic && r.cpuPercent < fullPercent) || step.Gang {
+		return
+	}
+	limit := max(minStallTime, time.Duration(float64(step.EstimateMs)*stallShare)*time.Millisecond)
+	if step.Standing {
+		limit = startupStallTime
+	}
+	// Only reports since the last progress count: without a recent one nothing is known.
+	if r.confirmedAt-r.progressAt < limit {
+		return
+	}
+	r.stopReason = "no progress"
+	runsStalled.Inc()
+	e.estimates.agent(r.agent.record.Id).recordResult(true)
+	e.options.Logger.Info("run stalled", "job", r.task.Stage.Job.ID, "step", r.task.Stage.Index, "index", r.task.Index, "run", r.number,
+		"agent", r.agent.record.Id, "percent", r.progressPercent, "unchanged", e.now-r.progressAt)
+}
--- /dev/null
+++ b/internal/sched/drive/poll.go
@@ -0,0 +1,63 @@
+// This file defines how often agents are polled, and how long a poll may wait.
+
+package drive
+
+import "time"
+
+const (
+	// maxPollWait is how long a poll waits for a completion. Longer waits mean fewer
+	// calls, but a lease has to be renewed several times before it expires.
+	maxPollWait = 1500 * time.Millisecond
+	// tailPollWait is the wait on agents with latency targets. Tail latencies are
+	// measured over half a second.
+	tailPollWait = 300 * time.Millisecond
+	// maxTailPollsPerSecond limits the leader's CPU time for polling latency targets.
+	maxTailPollsPerSecond = 800
+	// longPollShare is the share of the connections to agents that waiting polls may
+	// occupy. The rest is for orders and for polls that don't wait.
+	longPollShare = 0.5
+)
+
+// pollPlan determines the next poll of an agent.
+type pollPlan struct {
+	wait  time.Duration // for a completion
+	pause time.Duration // between the answer and the next poll
+}
+
+// planPoll returns how to poll an agent next. The first poll, and polls of an unreachable
+// agent, don't wait: they check whether the agent is there.
+//
+// A waiting poll occupies a connection. If there are too few connections for all agents,
+// only polls of agents with runs that end by themselves wait. The others are polled
+// equally often with a pause in between, during which other agents use the connection.
+// Otherwise agents without a connection would lose their leases.
+func (e *Engine) planPoll(at *agent) pollPlan {
+	interval := maxPollWait
+	switch {
+	case !at.synced || at.failedPolls > 0:
+		return pollPlan{}
+	case at.hasLatencyTargets:
+		interval = min(max(tailPollWait, time.Duration(len(e.agents))*time.Second/maxTailPollsPerSecond), maxPollWait)
+	}
+	if !e.connectionsLimited() || at.expectsCompletion() && e.longPolls < e.maxLongPolls() {
+		return pollPlan{wait: interval}
+	}
+	return pollPlan{pause: interval}
+}
+
+// connectionsLimited reports whether there are too few connections to let all polls wait.
+func (e *Engine) connectionsLimited() bool {
+	return e.options.MaxConnections > 0 && len(e.agents) > e.maxLongPolls()
+}
+
+func (e *Engine) maxLongPolls() int { return int(float64(e.options.MaxConnections) * longPollShare) }
+
+// expectsCompletion reports whether a run on the agent is going to end by itself.
+func (r *agent) expectsCompletion() bool {
+	for _, known := range r.sortedRuns {
+		if !known.task.Stage.Standing() {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/sched/drive/queue.go
@@ -0,0 +1,128 @@
+// This file defines the queue of ready stages, which is kept from one pass to the next.
+
+package drive
+
+import (
+	"slices"
+	"time"
+
+	"sycamoredeck.example/internal/store/graph"
+)
+
+const (
+	// The queue is rebuilt after queueAgePerStage for each stage in it, but at most after
+	// maxQueueAge. In between, new stages are merged in: sorting all stages in each pass
+	// would take longer than placing them.
+	queueAgePerStage = 25 * time.Microsecond
+	maxQueueAge      = 100 * time.Millisecond
+	// cleanupInterval is the interval at which data on the stages of ended jobs is
+	// removed.
+	cleanupInterval = time.Second
+)
+
+// pendingQueue holds the ready stages in scheduling order. The zero value is empty.
+type pendingQueue struct {
+	sorted, newlySorted []rankedStage // each in scheduling order
+	listed              map[*graph.Stage]bool
+	rebuildAt           time.Duration
+	overloaded          map[string]bool
+	classes             map[taskClass]int
+}
+
+func (l *pendingQueue) empty() bool { return len(l.sorted)+len(l.newlySorted) == 0 }
+
+// each calls f for each stage in order until f returns false. Stages without tasks left
+// to place are skipped.
+func (l *pendingQueue) each(f func(*rankedStage) bool) {
+	sorted, added := l.sorted, l.newlySorted
+	for len(sorted)+len(added) > 0 {
+		var next *rankedStage
+		if len(added) == 0 || len(sorted) > 0 && sorted[0].before(&added[0]) {
+			next, sorted = &sorted[0], sorted[1:]
+		} else {
+			next, added = &added[0], added[1:]
+		}
+		if next.stage.Ready() && !f(next) {
+			return
+		}
+	}
+}
+
+// classNumber numbers the task classes.
+func (l *pendingQueue) classNumber(k taskClass) int {
+	n, known := l.classes[k]
+	if !known {
+		n = len(l.classes)
+		l.classes[k] = n
+	}
+	return n
+}
+
+// updateQueue rebuilds the queue or merges the newly ready stages.
+func (e *Engine) updateQueue(wall time.Time) {
+	fresh := e.newlyReady
+	e.newlyReady = nil
+	if e.now >= e.queue.rebuildAt {
+		e.rebuildQueue(e.graph.ReadyStages(), wall)
+		return
+	}
+	for _, s := range fresh {
+		if s.Ready() && !e.queue.listed[s] && !s.Due.After(wall) {
+			e.recordReady(s)
+			e.queue.listed[s] = true
+			e.queue.newlySorted = append(e.queue.newlySorted, e.rankNew(s, wall))
+		}
+	}
+	slices.SortFunc(e.queue.newlySorted, compareStages)
+}
+
+func (e *Engine) rebuildQueue(stages []*graph.Stage, wall time.Time) {
+	e.updateOrdinaryDemand(stages)
+	e.removeEndedStages()
+	e.queue = pendingQueue{
+		sorted: e.queue.sorted[:0], newlySorted: e.queue.newlySorted[:0], listed: make(map[*graph.Stage]bool, len(stages)),
+		rebuildAt: e.now + min(time.Duration(len(stages))*queueAgePerStage, maxQueueAge), classes: map[taskClass]int{},
+	}
+	for _, s := range stages {
+		e.recordReady(s)
+		if !s.Due.After(wall) {
+			e.queue.listed[s] = true
+			e.queue.sorted = append(e.queue.sorted, e.rank(s, wall))
+		}
+	}
+	e.markOverloaded(e.queue.sorted)
+	slices.SortFunc(e.queue.sorted, compareStages)
+}
+
+// rankNew ranks a stage that became ready after the queue was built.
+func (e *Engine) rankNew(s *graph.Stage, wall time.Time) rankedStage {
+	r := e.rank(s, wall)
+	r.overloaded = e.queue.overloaded[s.Job.Queue]
+	return r
+}
+
+// recordReady records when a stage first had tasks to place.
+func (e *Engine) recordReady(s *graph.Stage) {
+	if _, known := e.readySince[s]; !known {
+		e.readySince[s] = e.now
+	}
+}
+
+// removeEndedStages removes data on the stages of ended jobs.
+func (e *Engine) removeEndedStages() {
+	if e.now < e.nextCleanup {
+		return
+	}
+	e.nextCleanup = e.now + cleanupInterval
+	for job := range e.estimates.jobs {
+		if job.Ended() {
+			delete(e.estimates.jobs, job)
+		}
+	}
+	for s := range e.readySince {
+		if s.Job.Ended() {
+			delete(e.readySince, s)
+			delete(e.advice, s)
+		}
+	}
+}
--- /dev/null
+++ b/internal/sched/drive/registration.go
@@ -0,0 +1,170 @@
+// This file defines the ids under which incarnations of agents are registered.
+
+package drive
+
+import (
+	"errors"
+	"fmt"
+
+	"google.golang.org/protobuf/proto"
+
+	"sycamoredeck.example/internal/schema/wire"
+	"sycamoredeck.example/internal/store/graph"
+)
+
+var (
+	// errIncarnationMissing rejects a report without the incarnation of an agent that has
+	// one, as forwarded by replicas of an earlier version. The agent has to use another
+	// replica.
+	errIncarnationMissing = errors.New("drive: the report doesn't tell the agent's incarnation")
+	// errIncarnationUnknown rejects a report while the agent is registered without its
+	// incarnation, by an earlier version, and hasn't answered this leader yet.
+	errIncarnationUnknown = errors.New("drive: which incarnation is registered isn't known yet")
+)
+
+// agentName returns the agent's own id.
+func agentName(r *wire.Agent) string {
+	if r.Name != "" {
+		return r.Name
+	}
+	return r.Id
+}
+
+// registration returns the record to register for a report, with the id of the process
+// that sent it; nil if that process has ended.
+//
+// An agent may restart under the same id without any memory of its previous process.
+// Therefore each process is registered separately: the first under the agent's id, later
+// ones under an id made from that and their incarnation. This keeps the runs, the
+// sequence of completions, the clock and the lease of one process apart from those of
+// another. With one id for all, completions would be acknowledged that no leader has
+// read, and an agent that came back after its lease had expired would be refused forever.
+func (e *Engine) registration(told *wire.Agent) (*wire.Agent, error) {
+	first := e.graph.Agent(told.Id)
+	switch {
+	case told.Incarnation == 0 && first != nil && first.Record.Incarnation != 0:
+		return nil, errIncarnationMissing
+	case told.Incarnation == 0 && first != nil:
+		return told, nil
+	case first != nil && first.Record.Incarnation == told.Incarnation:
+		return told, nil
+	case first != nil && first.Record.Incarnation == 0:
+		same, err := e.isRegisteredProcess(told)
+		if err != nil || same {
+			return told, err
+		}
+	}
+	if id := successorID(told, 1); e.graph.Agent(id) != nil {
+		return withID(told, id), nil
+	}
+	return e.newRegistration(told)
+}
+
+// isRegisteredProcess reports whether the process that is registered without its
+// incarnation has answered this leader with the incarnation of a report.
+func (e *Engine) isRegisteredProcess(told *wire.Agent) (bool, error) {
+	at := e.agents[told.Id]
+	if at == nil || !at.synced {
+		return false, errIncarnationUnknown
+	}
+	return at.incarnation == told.Incarnation, nil
+}
+
+// newRegistration returns the record of a process that isn't registered under its regular
+// ids: under the first unused id, unless the process or a successor is registered. A
+// process that was dropped while unreachable comes back this way. All leases that were
+// sent to it have expired, so it can't execute an old start any more.
+func (e *Engine) newRegistration(told *wire.Agent) (*wire.Agent, error) {
+	for _, other := range e.graph.Agents() {
+		switch r := other.Record; {
+		case agentName(r) != told.Id || r.Incarnation < told.Incarnation:
+		case told.Incarnation == 0:
+			return nil, errIncarnationMissing
+		case r.Incarnation == told.Incarnation:
+			return withID(told, r.Id), nil
+		default:
+			return nil, nil
+		}
+	}
+	if told.Incarnation == 0 || e.idUnused(told.Id) {
+		return told, nil
+	}
+	for n := 1; ; n++ {
+		if id := successorID(told, n); e.idUnused(id) {
+			return withID(told, id), nil
+		}
+	}
+}
+
+func (e *Engine) idUnused(id string) bool {
+	return e.graph.Agent(id) == nil && !e.graph.AgentRemoved(id)
+}
+
+// successorID returns the id of a process whose agent's own id is taken. Numbers above 1
+// are for a process that was dropped and came back.
+func successorID(told *wire.Agent, n int) string {
+	if n > 1 {
+		return fmt.Sprintf("%s@%d.%d", told.Id, told.Incarnation, n)
+	}
+	return fmt.Sprintf("%s@%d", told.Id, told.Incarnation)
+}
+
+func withID(told *wire.Agent, id string) *wire.Agent {
+	if id == told.Id {
+		return told
+	}
+	record := proto.Clone(told).(*wire.Agent)
+	record.Id, record.Name = id, told.Id
+	return record
+}
+
+// precedes reports whether other is a later process of the same agent.
+func (r *agent) precedes(other *agent) bool {
+	return agentName(r.record) == agentName(other.record) && r.incarnation < other.incarnation
+}
+
+// sameIncarnation reports whether an answer may come from the given process. If it was
+// registered without its incarnation, the first answer determines it.
+func (e *Engine) sameIncarnation(at *agent, a Answer) bool {
+	if a.Verdict != Accepted || a.Incarnation == 0 || a.Incarnation == at.incarnation {
+		return true
+	}
+	if at.incarnation != 0 || at.synced {
+		return false
+	}
+	later := successorID(&wire.Agent{Id: at.record.Id, Incarnation: a.Incarnation}, 1)
+	if e.graph.Agent(later) != nil {
+		return false // the answering process has its own registration
+	}
+	at.incarnation = a.Incarnation
+	return true
+}
+
+// handleGone drops an agent that has shut down. The notice doesn't identify the process;
+// it is taken to be the one that announced leaving. If there is none, the notice is a
+// late one of an earlier process and must not end the runs of the current one.
+func (e *Engine) handleGone(told *wire.Agent, done func(error)) {
+	gone := e.goneProcess(told.Id)
+	if gone == nil {
+		done(nil)
+		return
+	}
+	e.commitReport(&wire.WorkCommand{Body: &wire.WorkCommand_DropAgent{DropAgent: &wire.DropAgent{Id: gone.Record.Id, Reason: "it left"}}}, done)
+	e.options.Logger.Info("agent left", "agent", gone.Record.Id, "incarnation", gone.Record.Incarnation)
+}
+
+// goneProcess returns the process that such a notice refers to: the earliest one that is
+// leaving, or one without an incarnation, which never shares its agent's id. Nil if none.
+func (e *Engine) goneProcess(name string) *graph.Agent {
+	var gone *graph.Agent
+	for _, other := range e.graph.Agents() {
+		switch r := other.Record; {
+		case agentName(r) != name:
+		case r.Incarnation == 0:
+			return other
+		case r.Leaving && (gone == nil || r.Incarnation < gone.Record.Incarnation):
+			gone = other
+		}
+	}
+	return gone
+}
--- a/internal/sched/drive/sim_test.go
+++ b/internal/sched/drive/sim_test.go
@@ -403,7 +403,7 @@
 		}
 		s.engine.Tick(s.now)
 		s.checkUnwanted()
-		if err := s.engine.CheckKept(); err != nil {
+		if err := s.engine.CheckCaches(); err != nil {
 			s.check(false, "%v", err)
 		}
 	}
--- /dev/null
+++ b/internal/sched/drive/sort.go
@@ -0,0 +1,52 @@
+// This file defines the order in which agents and runs are processed.
+
+package drive
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+)
+
+// compareRuns orders runs by job, step, task and number.
+func compareRuns(a, b *run) int {
+	switch {
+	case a.task.Stage.Before(b.task.Stage):
+		return -1
+	case b.task.Stage.Before(a.task.Stage):
+		return 1
+	default:
+		return cmp.Or(cmp.Compare(a.task.Index, b.task.Index), cmp.Compare(a.number, b.number))
+	}
+}
+
+// addRun adds a run of a task that has no other run on the agent.
+func (r *agent) addRun(known *run) {
+	r.runs[known.task] = known
+	i, _ := slices.BinarySearchFunc(r.sortedRuns, known, compareRuns)
+	r.sortedRuns = slices.Insert(r.sortedRuns, i, known)
+}
+
+// removeRun removes a run. It copies the list, so that a caller may be iterating over it.
+func (r *agent) removeRun(known *run) {
+	delete(r.runs, known.task)
+	kept := make([]*run, 0, len(r.sortedRuns))
+	for _, other := range r.sortedRuns {
+		if other != known {
+			kept = append(kept, other)
+		}
+	}
+	r.sortedRuns = kept
+}
+
+// agentsByID returns all agents, sorted by id.
+func (e *Engine) agentsByID() []*agent {
+	if e.sortedAgents == nil {
+		e.sortedAgents = make([]*agent, 0, len(e.agents))
+		for _, at := range e.agents {
+			e.sortedAgents = append(e.sortedAgents, at)
+		}
+		slices.SortFunc(e.sortedAgents, func(a, b *agent) int { return strings.Compare(a.record.Id, b.record.Id) })
+	}
+	return e.sortedAgents
+}
--- /dev/null
+++ b/internal/sched/drive/throttle.go
@@ -0,0 +1,185 @@
+// This file defines how opportunistic runs that interfere with standing runs are
+// throttled, evicted and released.
+
+package drive
+
+import (
+	"sort"
+	"time"
+)
+
+const (
+	// throttleAboveShare of a latency target is where throttling begins. It is below the
+	// target because tail latencies are reported half a second late and a throttle takes
+	// effect 100 ms after its order.
+	throttleAboveShare = 0.85
+	// throttleGoalShare of a latency target is what throttling aims at, and the limit for
+	// placing new colocated tasks.
+	throttleGoalShare = 0.85
+	// relaxBelowShare of a latency target has to be predicted at most for a throttled run
+	// to be released.
+	relaxBelowShare = 0.8
+	// minThrottleInterval is the pause between two throttle changes on an agent, until
+	// the effect of the first is visible in the tail latencies.
+	minThrottleInterval = 700 * time.Millisecond
+	// migrateBelowPercent is the CPU percentage below which a checkpointable run is
+	// evicted instead of throttled.
+	migrateBelowPercent = 25
+	// percentStep is the granularity of CPU percentages.
+	percentStep = 10
+	// defaultUseShare is the assumed CPU usage of a task that isn't standing, as a share
+	// of its request, until it is measured.
+	defaultUseShare = 0.8
+	// defaultUtilization is the assumed utilization of a standing task until it is
+	// measured.
+	defaultUtilization = 0.5
+	// usageWindow is the period over which agents measure usage and tail latency.
+	usageWindow = 500 * time.Millisecond
+	// minInterference is the least increase in utilization for which a run is throttled
+	// or kept away. A standing task can miss its target through its own load; throttling
+	// runs that contribute nothing would not help.
+	minInterference = 0.01
+	// throttleLookahead is how far ahead tail latencies are predicted for throttling:
+	// until the effect of a throttle is reported.
+	throttleLookahead = 400 * time.Millisecond
+	// placementLookahead is how far ahead the peak load of standing tasks is predicted
+	// for placing colocated tasks: about the run time of such a task.
+	placementLookahead = 2500 * time.Millisecond
+)
+
+// throttleColocated throttles the opportunistic runs that interfere most with a standing
+// run, until it is predicted to meet its target again.
+func (e *Engine) throttleColocated(standing *run) {
+	at := standing.agent
+	excess := e.excessUtilization(standing, throttleGoalShare)
+	for _, r := range e.interferingRuns(standing) {
+		adds := e.interferenceOn(standing, r)
+		if excess <= 0 || adds < minInterference {
+			return
+		}
+		part := min(excess/adds, 1)
+		pace := int(float64(r.targetPercent)*(1-part)) / percentStep * percentStep
+		excess -= adds * part
+		at.throttleChangedAt = e.now
+		if pace < migrateBelowPercent && r.task.Stage.Step.Checkpointable && e.enabled(Migrate) {
+			e.evictInterfering(r, standing)
+		}
+		e.setThrottle(r, pace, standing)
+	}
+}
+
+// evictInterfering stops an opportunistic run so that it resumes on another agent.
+func (e *Engine) evictInterfering(r, standing *run) {
+	r.stopReason = "interferes with a standing run"
+	r.agent.markChanged()
+	runsEvicted.Inc()
+	r.task.AvoidAgent = r.agent.record.Id
+	e.options.Logger.Info("interfering run evicted", "job", r.task.Stage.Job.ID, "step", r.task.Stage.Index, "index", r.task.Index, "run", r.number,
+		"agent", r.agent.record.Id, "disturbed", standing.task.Stage.Job.ID, "tail_ms", standing.usage)
+}
+
+// interferenceOn returns how much a run currently adds to the utilization of a standing
+// run.
+func (e *Engine) interferenceOn(standing, r *run) float64 {
+	weight := e.tailModel.Weight(standing.task.Stage.Step.Image, r.task.Stage.Step.Image)
+	return weight * r.currentShare()
+}
+
+// interferingRuns returns the opportunistic runs that are colocated with a standing one,
+// by decreasing interference.
+func (e *Engine) interferingRuns(standing *run) []*run {
+	list := throttleableRuns(standing.agent)
+	sort.SliceStable(list, func(i, k int) bool { return e.interferenceOn(standing, list[i]) > e.interferenceOn(standing, list[k]) })
+	return list
+}
+
+// throttleableRuns returns the opportunistic runs on an agent that use the CPU and aren't
+// being stopped, in the order of compareRuns.
+func throttleableRuns(at *agent) []*run {
+	var list []*run
+	for _, r := range at.sortedRuns {
+		if r.task.Stage.Step.Opportunistic && r.phase == phaseRunning && r.targetPercent > 0 && r.stopReason == "" {
+			list = append(list, r)
+		}
+	}
+	return list
+}
+
+// relaxThrottles releases one throttled run if all standing runs are expected to bear it.
+func (e *Engine) relaxThrottles(at *agent) {
+	for _, r := range at.sortedRuns {
+		t := r.task
+		if !t.Stage.Step.Opportunistic || r.targetPercent >= fullPercent || r.phase != phaseRunning || r.stopReason != "" {
+			continue
+		}
+		if e.withinTargets(at, t.Stage.Step.Image, r.unthrottledShare()*float64(fullPercent-max(r.cpuPercent, 0))/fullPercent) {
+			at.throttleChangedAt = e.now
+			e.setThrottle(r, fullPercent, nil)
+			return
+		}
+	}
+}
+
+// withinTargets reports whether all standing runs on an agent are predicted to stay
+// within relaxBelowShare of their targets with an additional load of an image.
+func (e *Engine) withinTargets(at *agent, image string, share float64) bool {
+	if e.expectedUtilization(at)+share > maxUtilization {
+		return false
+	}
+	for _, r := range at.sortedRuns {
+		t := r.task
+		if t.Stage.Step.TailTargetMs == 0 || r.phase != phaseRunning {
+			continue
+		}
+		adds := e.tailModel.Weight(t.Stage.Step.Image, image) * share
+		if adds >= minInterference && e.excessUtilization(r, relaxBelowShare)+adds > 0 {
+			return false
+		}
+	}
+	return true
+}
+
+// clearThrottles releases all throttled runs on an agent without latency targets.
+func (e *Engine) clearThrottles(at *agent) {
+	for _, r := range at.sortedRuns {
+		if r.task.Stage.Step.Opportunistic {
+			e.setThrottle(r, fullPercent, nil)
+		}
+	}
+}
+
+func (e *Engine) setThrottle(r *run, percent int, standing *run) {
+	if percent == r.targetPercent {
+		return
+	}
+	tail := 0
+	if standing != nil {
+		tail = standing.usage
+	}
+	e.options.Logger.Debug("throttle changed", "job", r.task.Stage.Job.ID, "step", r.task.Stage.Index, "index", r.task.Index, "run", r.number,
+		"agent", r.agent.record.Id, "from", r.targetPercent, "to", percent, "tail_ms", tail)
+	r.targetPercent = percent
+}
+
+func (e *Engine) reconcileThrottle(r *run) {
+	if r.throttlePending || r.cpuPercent == r.targetPercent || e.now < r.nextThrottle || !r.task.Stage.Step.Opportunistic {
+		return
+	}
+	r.throttlePending = true
+	e.send(r.agent, Order{Kind: Throttle, Run: r.id(), CPUPercent: r.targetPercent})
+}
+
+func (e *Engine) handleThrottleAnswer(at *agent, a Answer) {
+	r := e.findRun(at, a.Order.Run)
+	if r == nil {
+		return
+	}
+	r.throttlePending = false
+	if a.Verdict == Accepted {
+		r.previousPercent, r.cpuPercent, r.throttledAt = r.cpuPercent, a.Order.CPUPercent, e.now
+		r.progressAt = e.now
+		return
+	}
+	r.nextThrottle = e.now + throttleRetryInterval
+	e.options.Logger.Info("throttle refused or unanswered", "job", a.Order.Run.Job, "run", r.number, "agent", at.record.Id, "verdict", a.Verdict.String(), "detail", a.Detail)
+}
