--- a/example_test.go
+++ b/example_test.go
@@ -9,8 +9,8 @@
 	sycamoredeck "sycamoredeck.example"
 )
 
-// A leader grants a lease and calls the worker lost only once the lease has
-// surely run out.
+// A leader grants a lease and declares the worker lost only after the lease has
+// certainly expired.
 func ExampleLeaseTable() {
 	since := time.Unix(0, 0)
 	table := sycamoredeck.NewLeaseTable(since, 4*time.Second, time.Second)
--- a/internal/sched/lease/table.go
+++ b/internal/sched/lease/table.go
@@ -1,13 +1,13 @@
-// This file defines Table, the leader's memory of the leases it granted.
+// This file defines Table, the leases that a leader has granted.
 
-// Package lease keeps track of how long workers may run on.
+// Package lease tracks the leases under which workers may run tasks.
 //
-// A worker's lease runs from the moment it sent the report that a grant
-// answers, on its own monotonic clock. The leader doesn't know that moment,
-// but it isn't later than the report's arrival, so a lease counted from the
-// grant ends no earlier than the worker's. A new leader knows nothing of the
-// grants of the one before it, and waits as long as the last of them could
-// run. Clocks are trusted to run at the same rate within Drift, not to agree.
+// A worker's lease starts when the worker sends the report that the grant answers, on
+// its own monotonic clock. The leader doesn't know that time, but it is before the
+// report's arrival, so a lease counted from the grant expires no earlier than the
+// worker's. A new leader doesn't know the grants of its predecessor and waits until the
+// last of them must have expired. Clocks may disagree, but their rates may differ by
+// MaxClockDrift at most.
 package lease
 
 import (
@@ -15,9 +15,9 @@
 )
 
 const (
-	// Drift is the part by which two clocks' rates may differ.
+	// MaxClockDrift is the largest relative difference of two clocks' rates.
 	MaxClockDrift = 0.02
-	// Slack is added for timers that fire late.
+	// TimerSlack is a margin for timers that fire late.
 	TimerSlack = 100 * time.Millisecond
 )
 
@@ -25,66 +25,67 @@
 	grant struct {
 		incarnation string
 		until       time.Time
-		// expected says that no lease was granted yet.
-		expected bool
+		pending     bool // registered, but no lease granted yet
 	}
 
-	// Table is what one leader granted in one term. It is made by NewTable.
+	// Table holds the leases that one leader granted in one term. See NewTable.
 	Table struct {
 		duration time.Duration
-		settled  time.Time
-		grants   map[string]grant
+		// earliestExpiry is when all leases of earlier leaders have expired.
+		earliestExpiry time.Time
+		grants         map[string]grant
 	}
 )
 
-// NewTable returns the table of a leader that leads since the given time.
-// Overlap is the longest time that the leader before it could still have
-// granted leases after that: an election timeout.
+// NewTable returns the table of a leader elected at the given time. Overlap is the
+// longest time after that in which an earlier leader may still have granted leases: the
+// election timeout.
 func NewTable(since time.Time, duration, overlap time.Duration) *Table {
 	return &Table{
-		duration: duration,
-		settled:  since.Add(stretched(duration + overlap)),
-		grants:   map[string]grant{},
+		duration:       duration,
+		earliestExpiry: since.Add(withMargin(duration + overlap)),
+		grants:         map[string]grant{},
 	}
 }
 
-// Grant notes that a worker's report is being answered with a lease, and
-// returns its duration.
+// Grant records a lease granted in the answer to a worker's report, and returns its
+// duration.
 func (t *Table) Grant(worker, incarnation string, now time.Time) time.Duration {
-	t.grants[worker] = grant{incarnation: incarnation, until: now.Add(stretched(t.duration))}
+	t.grants[worker] = grant{incarnation: incarnation, until: now.Add(withMargin(t.duration))}
 	return t.duration
 }
 
-// Expect notes that an incarnation was registered, and gives it the time of a
-// lease to ask for its first one. Without that it would count as out at once,
-// be lost before its next report, register anew, and so on for ever.
+// Register gives a newly registered incarnation one lease duration to request its first
+// lease. Otherwise it would count as expired at once, be declared lost before its next
+// report and register again, without end.
 func (t *Table) Register(worker, incarnation string, now time.Time) {
 	if g, ok := t.grants[worker]; ok && g.incarnation == incarnation {
 		return
 	}
-	t.grants[worker] = grant{incarnation: incarnation, until: now.Add(stretched(t.duration)), expected: true}
+	t.grants[worker] = grant{incarnation: incarnation, until: now.Add(withMargin(t.duration)), pending: true}
 }
 
-// Out tells whether every lease of the incarnation has surely run out.
+// Expired reports whether every lease of the incarnation has certainly expired.
 func (t *Table) Expired(worker, incarnation string, now time.Time) bool {
-	if now.Before(t.settled) {
+	if now.Before(t.earliestExpiry) {
 		return false
 	}
 	g, ok := t.grants[worker]
 	return !ok || g.incarnation != incarnation || now.After(g.until)
 }
 
-// Held tells whether the incarnation was granted a lease that may still run.
+// Active reports whether the incarnation was granted a lease that may not have expired.
 func (t *Table) Active(worker, incarnation string, now time.Time) bool {
 	g, ok := t.grants[worker]
-	return ok && !g.expected && g.incarnation == incarnation && now.Before(g.until)
+	return ok && !g.pending && g.incarnation == incarnation && now.Before(g.until)
 }
 
-// Forget drops what is known of a worker that was declared lost.
+// Remove removes the grants of a worker that was declared lost.
 func (t *Table) Remove(worker string) {
 	delete(t.grants, worker)
 }
 
-func stretched(d time.Duration) time.Duration {
+// withMargin returns the longest time by this clock that a duration may take by another.
+func withMargin(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*MaxClockDrift) + TimerSlack
 }
--- a/internal/sched/plan/bench_test.go
+++ b/internal/sched/plan/bench_test.go
@@ -62,7 +62,7 @@
 		for range 400 {
 			b.submit()
 		}
-		b.turn()
+		b.tick()
 	}
 	return b
 }
@@ -89,7 +89,7 @@
 	b.planner.MarkChanged()
 }
 
-func (b *bench) turn() {
+func (b *bench) tick() {
 	b.now = b.now.Add(time.Second)
 	b.planner.Tick(b.now)
 }
@@ -117,7 +117,7 @@
 					s.finishOldest()
 					s.submit()
 				}
-				s.turn()
+				s.tick()
 			}
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*size.batch), "us/placement")
 		})
--- a/internal/sched/plan/crash_test.go
+++ b/internal/sched/plan/crash_test.go
@@ -16,14 +16,14 @@
 // long as there are any. A worker that goes down reports no failure; its jobs are queued
 // again as those of a lost worker, which no limit counts, and come to the next one
 // together.
-func TestJobThatCrashesWorkersIsGivenUp(t *testing.T) {
+func TestCrashingJobsFail(t *testing.T) {
 	// Five crashes are counted. One isn't where the worker's lease has run out before a
 	// report of its next incarnation arrives, since it may only be cut off: messages are
 	// lost and late here.
 	const most = 5 + 3
 	for seed := range uint64(30) {
-		s, jobs := playCrashes(t, seed)
-		for id := range s.crashing {
+		s, jobs := simulateCrashes(t, seed)
+		for id := range s.crashingJobs {
 			assert.Equal(t, s.machine.Job(id).State, wire.JobState_JOB_STATE_FAILED, "seed %d: %s ended %d workers", seed, id, s.crashes[id])
 			assert.Assert(t, s.crashes[id] <= most, "seed %d: %s ended %d workers", seed, id, s.crashes[id])
 		}
@@ -39,13 +39,13 @@
 // and got a new lease. Then an answer arrived that was older than all that, with the order
 // to start the job, and a worker with a lease obeys. An order to start has to be void as
 // soon as the lease is that came with it.
-func TestStartsOfAnEarlierLeaseAreVoid(t *testing.T) {
-	playCrashes(t, 146)
+func TestStartOrderExpiresWithLease(t *testing.T) {
+	simulateCrashes(t, 146)
 }
 
-// playCrashes has jobs come for 40 seconds, some of which crash workers, lets three
+// simulateCrashes has jobs come for 40 seconds, some of which crash workers, lets three
 // minutes go by, and returns how many of the others there were.
-func playCrashes(t *testing.T, seed uint64) (played *sim, jobs int) {
+func simulateCrashes(t *testing.T, seed uint64) (played *sim, jobs int) {
 	t.Helper()
 	s := newSim(seed, 6)
 	for range 40 {
@@ -55,12 +55,12 @@
 		}
 		if jobs%30 == 0 {
 			id := fmt.Sprint("crashing", jobs)
-			s.crashing[id] = true
+			s.crashingJobs[id] = true
 			s.submit(id, "a", false)
 		}
 		s.run(time.Second)
 	}
 	s.run(3 * time.Minute)
-	assert.Assert(t, len(s.broken) == 0, "seed %d: %v", seed, s.broken)
+	assert.Assert(t, len(s.violations) == 0, "seed %d: %v", seed, s.violations)
 	return s, jobs
 }
--- a/internal/sched/plan/health.go
+++ b/internal/sched/plan/health.go
@@ -17,29 +17,29 @@
 )
 
 type (
-	// kindRecord counts how a job kind's attempts ended, over all workers.
-	kindRecord struct {
+	// kindStats counts how a job kind's attempts ended, over all workers.
+	kindStats struct {
 		finished, failed float64
 	}
 
 	// streak is a worker's failures since its last success.
-	streak struct {
+	failureStreak struct {
 		jobs map[string]bool
 		// expected is how many of them their job kinds would have failed on
 		// any worker.
-		expected float64
+		expectedFailures float64
 	}
 
 	health struct {
-		kinds   map[string]*kindRecord
-		streaks map[string]*streak
+		kinds   map[string]*kindStats
+		streaks map[string]*failureStreak
 		// failedOn holds the workers that a queued job failed on.
 		failedOn map[string]map[string]bool
 	}
 )
 
 func newHealth() *health {
-	return &health{kinds: map[string]*kindRecord{}, streaks: map[string]*streak{}, failedOn: map[string]map[string]bool{}}
+	return &health{kinds: map[string]*kindStats{}, streaks: map[string]*failureStreak{}, failedOn: map[string]map[string]bool{}}
 }
 
 // failureRate is the part of a kind's attempts that fail, leaning to 10% while
@@ -52,49 +52,49 @@
 	return (k.failed + 0.5) / (k.failed + k.finished + 5)
 }
 
-func (h *health) finished(worker, kind, job string) {
-	h.kindOf(kind).finished++
+func (h *health) recordFinished(worker, kind, job string) {
+	h.statsOf(kind).finished++
 	delete(h.streaks, worker)
 	delete(h.failedOn, job)
 }
 
 // failed notes a failure and tells whether the worker's streak is beyond what
 // its job kinds explain.
-func (h *health) failed(worker, kind, job string) bool {
+func (h *health) recordFailed(worker, kind, job string) bool {
 	s := h.streaks[worker]
 	if s == nil {
-		s = &streak{jobs: map[string]bool{}}
+		s = &failureStreak{jobs: map[string]bool{}}
 		h.streaks[worker] = s
 	}
 	if !s.jobs[job] {
-		s.expected += h.failureRate(kind)
+		s.expectedFailures += h.failureRate(kind)
 	}
 	s.jobs[job] = true
-	h.kindOf(kind).failed++
+	h.statsOf(kind).failed++
 	if h.failedOn[job] == nil {
 		h.failedOn[job] = map[string]bool{}
 	}
 	h.failedOn[job][worker] = true
-	return len(s.jobs) >= quarantineFailures && float64(len(s.jobs)) > 2*s.expected
+	return len(s.jobs) >= quarantineFailures && float64(len(s.jobs)) > 2*s.expectedFailures
 }
 
-func (h *health) kindOf(kind string) *kindRecord {
+func (h *health) statsOf(kind string) *kindStats {
 	k := h.kinds[kind]
 	if k == nil {
-		k = &kindRecord{}
+		k = &kindStats{}
 		h.kinds[kind] = k
 	}
 	return k
 }
 
-func (p *Planner) noteEnd(worker string, j *wire.Job, t *wire.TaskReport) {
+func (p *Planner) recordCompletion(worker string, j *wire.Job, t *wire.TaskReport) {
 	kind := j.Spec.ClientAccount + "/" + j.Spec.JobKind
 	switch t.State {
 	case wire.TaskState_TASK_STATE_FINISHED:
-		p.health.finished(worker, kind, j.JobId)
+		p.health.recordFinished(worker, kind, j.JobId)
 	case wire.TaskState_TASK_STATE_FAILED:
-		if p.health.failed(worker, kind, j.JobId) {
-			p.quarantine(worker)
+		if p.health.recordFailed(worker, kind, j.JobId) {
+			p.proposeQuarantine(worker)
 		}
 		if state.Ended(j) {
 			delete(p.health.failedOn, j.JobId)
@@ -103,7 +103,7 @@
 	}
 }
 
-func (p *Planner) quarantine(worker string) {
+func (p *Planner) proposeQuarantine(worker string) {
 	known := p.options.Machine.Worker(worker)
 	if known == nil || known.Quarantine != "" {
 		return
--- a/internal/sched/plan/place.go
+++ b/internal/sched/plan/place.go
@@ -16,14 +16,14 @@
 	// maxSkipped is how many jobs of an account that fit nowhere are passed
 	// over in one pass before the account waits.
 	maxSkipped = 16
-	// maxConsidered is how many workers with room are compared for one job.
+	// maxCandidates is how many workers with room are compared for one job.
 	// The best of so many is taken to differ little from the best of all,
 	// which isn't measured; the time of a choice no longer grows with the
 	// workers.
-	maxConsidered = 256
-	// seatStride is the distance between workers compared, a prime larger
+	maxCandidates = 256
+	// candidateStride is the distance between workers compared, a prime larger
 	// than a rack or a failure domain's row, so that they are mixed.
-	seatStride = 1009
+	candidateStride = 1009
 	// A job that failed waits firstBackoff before its next attempt, doubled
 	// for each further failure up to maxBackoff.
 	firstBackoff = 100 * time.Millisecond
@@ -45,7 +45,7 @@
 		Siblings int
 	}
 
-	claimant struct {
+	accountQueue struct {
 		name    string
 		share   float64
 		skipped int
@@ -67,18 +67,18 @@
 // placePass places what has room, the account with the smallest weighted
 // dominant share first (Ghodsi et al., NSDI 2011), urgent jobs before all.
 func (p *Planner) placePass(now time.Time) {
-	whole := p.usable(now)
-	if len(whole.seats) == 0 {
+	whole := p.eligible(now)
+	if len(whole.workers) == 0 {
 		return
 	}
-	claimants := p.claimants(now, whole.total)
+	claimants := p.accountQueues(now, whole.total)
 	var batch []*wire.Placement
 	for len(claimants) > 0 && len(batch) < maxBatch {
-		i := neediest(claimants)
+		i := nextAccount(claimants)
 		c := claimants[i]
 		j := c.jobs[0]
 		c.jobs = c.jobs[1:]
-		if placement := p.placeOne(whole, j); placement != nil {
+		if placement := p.placeJob(whole, j); placement != nil {
 			batch = append(batch, placement)
 			c.share = p.weightedShare(c.name, whole.total)
 		} else {
@@ -96,22 +96,22 @@
 type (
 	// seat is a worker in one pass. Its sums are kept here, flat, since the
 	// choice looks at every seat for every placement.
-	seat struct {
+	workerView struct {
 		worker         *state.Worker
 		free, capacity state.Resources
 		// suspect tells that a job is there, or on its way, under which a worker crashed.
-		suspect bool
+		crashSuspect bool
 	}
 
-	// usableWorkers are those that hold a lease and may take work.
-	usableWorkers struct {
-		seats []seat
-		total state.Resources
+	// eligibleWorkers are those that hold a lease and may take work.
+	eligibleWorkers struct {
+		workers []workerView
+		total   state.Resources
 	}
 )
 
-func (p *Planner) usable(now time.Time) usableWorkers {
-	u := usableWorkers{seats: make([]seat, 0, len(p.options.Machine.Workers()))}
+func (p *Planner) eligible(now time.Time) eligibleWorkers {
+	u := eligibleWorkers{workers: make([]workerView, 0, len(p.options.Machine.Workers()))}
 	for _, w := range p.options.Machine.SortedWorkers() {
 		id := w.Record.WorkerId
 		capacity := state.ResourcesOf(w.Record.Capacity)
@@ -119,18 +119,18 @@
 		if w.Quarantine != "" || p.options.Machine.Drained(w) || p.losing[id] || !p.leases.Active(id, w.Record.Incarnation, now) {
 			continue
 		}
-		u.seats = append(u.seats, seat{worker: w, free: p.free(w), capacity: capacity, suspect: hasSuspect(w)})
+		u.workers = append(u.workers, workerView{worker: w, free: p.freeResources(w), capacity: capacity, crashSuspect: hasCrashSuspect(w)})
 	}
-	p.markSuspects(u)
+	p.markCrashSuspects(u)
 	return u
 }
 
-func (p *Planner) claimants(now time.Time, total state.Resources) []*claimant {
-	var claimants []*claimant
+func (p *Planner) accountQueues(now time.Time, total state.Resources) []*accountQueue {
+	var claimants []*accountQueue
 	for _, name := range p.options.Machine.AccountsWithQueuedJobs() {
-		c := &claimant{name: name, share: p.weightedShare(name, total)}
+		c := &accountQueue{name: name, share: p.weightedShare(name, total)}
 		p.options.Machine.Queued(name, func(j *wire.Job) bool {
-			if _, busy := p.pending[j.JobId]; !busy && !waits(j, now) {
+			if _, busy := p.pending[j.JobId]; !busy && !inBackoff(j, now) {
 				c.jobs = append(c.jobs, j)
 			}
 			return len(c.jobs) < maxBatch
@@ -144,7 +144,7 @@
 
 // neediest picks the account to serve next: one with an urgent job if there
 // is any, then the smallest share.
-func neediest(claimants []*claimant) int {
+func nextAccount(claimants []*accountQueue) int {
 	best := 0
 	for i, c := range claimants {
 		b := claimants[best]
@@ -167,11 +167,11 @@
 	if weight <= 0 {
 		weight = 1
 	}
-	return p.options.Machine.Used(account).Add(p.claimed[account]).DominantShare(total) / weight
+	return p.options.Machine.Used(account).Add(p.assumedByAccount[account]).DominantShare(total) / weight
 }
 
 // waits tells whether a job's back-off still runs.
-func waits(j *wire.Job, now time.Time) bool {
+func inBackoff(j *wire.Job, now time.Time) bool {
 	if j.Failures == 0 || j.EndedAt == nil {
 		return false
 	}
@@ -179,14 +179,14 @@
 	return now.Before(j.EndedAt.AsTime().Add(delay))
 }
 
-func (p *Planner) placeOne(u usableWorkers, j *wire.Job) *wire.Placement {
+func (p *Planner) placeJob(u eligibleWorkers, j *wire.Job) *wire.Placement {
 	need := state.ResourcesOf(j.Spec.Resources)
 	account := j.Spec.ClientAccount
 	quota := state.ResourcesOf(p.options.Machine.Account(account).GetQuota())
-	if !p.options.Machine.Used(account).Add(p.claimed[account]).Add(need).FitsQuota(quota) {
+	if !p.options.Machine.Used(account).Add(p.assumedByAccount[account]).Add(need).FitsQuota(quota) {
 		return nil
 	}
-	chosen := p.choose(u, j, need)
+	chosen := p.selectWorker(u, j, need)
 	if chosen == nil {
 		if j.Spec.Urgent {
 			p.preempt(u, need)
@@ -194,11 +194,11 @@
 		return nil
 	}
 	chosen.free = chosen.free.Sub(need)
-	chosen.suspect = chosen.suspect || suspect(j)
+	chosen.crashSuspect = chosen.crashSuspect || isCrashSuspect(j)
 	id := chosen.worker.Record.WorkerId
 	p.pending[j.JobId] = pendingPlacement{worker: id, account: account, need: need}
-	p.taken[id] = p.taken[id].Add(need)
-	p.claimed[account] = p.claimed[account].Add(need)
+	p.assumedByWorker[id] = p.assumedByWorker[id].Add(need)
+	p.assumedByAccount[account] = p.assumedByAccount[account].Add(need)
 	return &wire.Placement{
 		JobId: j.JobId, Attempt: j.Attempt + 1, WorkerId: id,
 		WorkerIncarnation: chosen.worker.Record.Incarnation,
@@ -207,20 +207,20 @@
 
 // choose returns the best of some workers that have room; nil only when none
 // at all has.
-func (p *Planner) choose(u usableWorkers, j *wire.Job, need state.Resources) *seat {
-	var best *seat
+func (p *Planner) selectWorker(u eligibleWorkers, j *wire.Job, need state.Resources) *workerView {
+	var best *workerView
 	var bestScore float64
 	siblings := p.siblings(u, j)
 	failedOn := p.health.failedOn[j.JobId]
-	n := len(u.seats)
-	stride := seatStride
-	if n%seatStride == 0 {
+	n := len(u.workers)
+	stride := candidateStride
+	if n%candidateStride == 0 {
 		stride = 1 // or it would come back to the same few
 	}
 	p.cursor += stride
-	for i, seen := 0, 0; i < n && seen < maxConsidered; i++ {
-		s := &u.seats[(p.cursor+i*stride)%n]
-		if !need.FitsIn(s.free) || s.suspect && suspect(j) {
+	for i, seen := 0, 0; i < n && seen < maxCandidates; i++ {
+		s := &u.workers[(p.cursor+i*stride)%n]
+		if !need.FitsIn(s.free) || s.crashSuspect && isCrashSuspect(j) {
 			continue
 		}
 		seen++
@@ -236,47 +236,47 @@
 	return best
 }
 
-func (p *Planner) free(w *state.Worker) state.Resources {
+func (p *Planner) freeResources(w *state.Worker) state.Resources {
 	capacity := state.ResourcesOf(w.Record.Capacity)
-	return capacity.Sub(w.Committed).Sub(p.taken[w.Record.WorkerId])
+	return capacity.Sub(w.Committed).Sub(p.assumedByWorker[w.Record.WorkerId])
 }
 
 // suspect tells whether a job may be one that ends its workers. Of the jobs that go with
 // a worker at most one is the cause, and all are counted: if they came to the next
 // worker together, those which do no harm would be counted with it each time.
-func suspect(j *wire.Job) bool { return j.WorkerCrashes > 0 }
+func isCrashSuspect(j *wire.Job) bool { return j.WorkerCrashes > 0 }
 
-func hasSuspect(w *state.Worker) bool {
+func hasCrashSuspect(w *state.Worker) bool {
 	for _, j := range w.Tasks {
-		if suspect(j) {
+		if isCrashSuspect(j) {
 			return true
 		}
 	}
 	return false
 }
 
-// markSuspects marks the workers to which suspects are on their way.
-func (p *Planner) markSuspects(u usableWorkers) {
+// markCrashSuspects marks the workers to which suspects are on their way.
+func (p *Planner) markCrashSuspects(u eligibleWorkers) {
 	on := map[string]bool{}
 	for id, pending := range p.pending {
-		if j := p.options.Machine.Job(id); j != nil && suspect(j) {
+		if j := p.options.Machine.Job(id); j != nil && isCrashSuspect(j) {
 			on[pending.worker] = true
 		}
 	}
-	for i := range u.seats {
-		s := &u.seats[i]
-		s.suspect = s.suspect || on[s.worker.Record.WorkerId]
+	for i := range u.workers {
+		s := &u.workers[i]
+		s.crashSuspect = s.crashSuspect || on[s.worker.Record.WorkerId]
 	}
 }
 
 // siblings counts an account's standing tasks by failure domain, so that the
 // loss of one domain doesn't stop them all.
-func (p *Planner) siblings(u usableWorkers, j *wire.Job) map[string]int {
+func (p *Planner) siblings(u eligibleWorkers, j *wire.Job) map[string]int {
 	if j.Class != wire.JobClass_JOB_CLASS_STANDING {
 		return nil
 	}
 	counts := map[string]int{}
-	for _, s := range u.seats {
+	for _, s := range u.workers {
 		for _, t := range s.worker.Tasks {
 			if t.Class == j.Class && t.Spec.ClientAccount == j.Spec.ClientAccount {
 				counts[s.worker.Record.FailureDomain]++
@@ -289,10 +289,10 @@
 // preempt orders the eviction of the youngest tasks that aren't urgent, from
 // the worker where the fewest have to go. They stop at a checkpoint and resume
 // elsewhere; the urgent job is placed once they have.
-func (p *Planner) preempt(u usableWorkers, need state.Resources) {
+func (p *Planner) preempt(u eligibleWorkers, need state.Resources) {
 	var victims []*wire.Job
-	for _, s := range u.seats {
-		chosen, ok := p.victims(s.worker, need)
+	for _, s := range u.workers {
+		chosen, ok := p.selectVictims(s.worker, need)
 		if !ok {
 			continue
 		}
@@ -310,8 +310,8 @@
 	}
 }
 
-func (p *Planner) victims(w *state.Worker, need state.Resources) ([]*wire.Job, bool) {
-	free := p.free(w)
+func (p *Planner) selectVictims(w *state.Worker, need state.Resources) ([]*wire.Job, bool) {
+	free := p.freeResources(w)
 	var tasks []*wire.Job
 	for _, j := range w.Tasks {
 		if p.mustStop(j) {
@@ -335,14 +335,14 @@
 }
 
 func (p *Planner) proposePlacements(batch []*wire.Placement) {
-	since := p.since
+	since := p.leaderSince
 	command := &wire.Command{Body: &wire.Command_PlaceTasks{PlaceTasks: &wire.PlaceTasks{Placements: batch}}}
 	p.options.Propose(command, func(r state.Result, err error) {
-		if !p.since.Equal(since) {
+		if !p.leaderSince.Equal(since) {
 			return
 		}
 		for i, placement := range batch {
-			p.settle(placement.JobId)
+			p.removePending(placement.JobId)
 			if err != nil {
 				continue
 			}
@@ -359,18 +359,18 @@
 }
 
 // settle takes a placement out of the sums of what is pending.
-func (p *Planner) settle(job string) {
+func (p *Planner) removePending(job string) {
 	pending := p.pending[job]
 	delete(p.pending, job)
-	p.taken[pending.worker] = p.taken[pending.worker].Sub(pending.need)
-	p.claimed[pending.account] = p.claimed[pending.account].Sub(pending.need)
+	p.assumedByWorker[pending.worker] = p.assumedByWorker[pending.worker].Sub(pending.need)
+	p.assumedByAccount[pending.account] = p.assumedByAccount[pending.account].Sub(pending.need)
 }
 
 // sendOrder sends an order at once, ahead of the worker's next report.
 func (p *Planner) sendOrder(j *wire.Job, order *wire.TaskOrder) {
-	a := p.workers[j.WorkerId]
+	a := p.sessions[j.WorkerId]
 	if a == nil || a.report.Worker.Incarnation != j.WorkerIncarnation {
 		return
 	}
-	p.answer(a, nil, []*wire.TaskOrder{order})
+	p.sendAnswer(a, nil, []*wire.TaskOrder{order})
 }
--- a/internal/sched/plan/plan_test.go
+++ b/internal/sched/plan/plan_test.go
@@ -38,7 +38,7 @@
 			s.elect()
 		}
 		s.run(3 * time.Minute)
-		assert.Assert(t, len(s.broken) == 0, "seed %d: %v", seed, s.broken)
+		assert.Assert(t, len(s.violations) == 0, "seed %d: %v", seed, s.violations)
 		for i := range jobs {
 			j := s.machine.Job(fmt.Sprint("j", i))
 			assert.Equal(t, j.State, wire.JobState_JOB_STATE_FINISHED, "seed %d: job %d", seed, i)
@@ -49,10 +49,10 @@
 }
 
 // Symptom: one worker that fails everything eats all jobs' attempts.
-func TestBadWorkerIsPutAside(t *testing.T) {
+func TestFaultyWorkerIsQuarantined(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSim(seed, 4)
-		s.workers[0].bad = true
+		s.workers[0].faulty = true
 		for i := range 60 {
 			s.submit(fmt.Sprint("j", i), "a", false)
 			s.run(time.Second)
@@ -70,7 +70,7 @@
 
 // While both accounts want more than there is, they hold what their shares
 // say: here 1 to 3.
-func TestSharesAreKept(t *testing.T) {
+func TestSharesAreRespected(t *testing.T) {
 	s := newSim(1, 4)
 	for i := range 3000 {
 		s.submit(fmt.Sprint("a", i), "a", false)
@@ -85,7 +85,7 @@
 	assert.Assert(t, b/a > 2.2 && b/a < 3.8, "ratio %.2f", b/a)
 }
 
-func TestImpossibleReports(t *testing.T) {
+func TestInvalidReports(t *testing.T) {
 	sound := func() *wire.AttendRequest {
 		return &wire.AttendRequest{Sequence: 1, Worker: &wire.Worker{
 			WorkerId: "w", Incarnation: "a", Capacity: &wire.Resources{MilliProcessors: 1000, MemoryBytes: 1},
--- a/internal/sched/plan/planner.go
+++ b/internal/sched/plan/planner.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	// lossInterval is how often all workers are looked at for lost leases.
-	lossInterval = 100 * time.Millisecond
+	// lossCheckInterval is how often all workers are looked at for lost leases.
+	lossCheckInterval = 100 * time.Millisecond
 	// sweepInterval is how often the state forgets what is old.
 	sweepInterval = time.Minute
-	// placeInterval gathers what becomes due into one pass.
-	placeInterval = 2 * time.Millisecond
-	// placeRest is how many times as long as it took a pass is followed by
+	// minPassInterval gathers what becomes due into one pass.
+	minPassInterval = 2 * time.Millisecond
+	// passRestFactor is how many times as long as it took a pass is followed by
 	// rest, so that placement leaves the loop to commits and heartbeats
 	// however many workers there are.
-	placeRest = 3
-	// retryInterval brings back passes that found no room, since back-offs
+	passRestFactor = 3
+	// passRetryInterval brings back passes that found no room, since back-offs
 	// run out by time alone.
-	retryInterval = 250 * time.Millisecond
+	passRetryInterval = 250 * time.Millisecond
 )
 
 var (
@@ -69,12 +69,12 @@
 	}
 
 	// attendance is what is known of a worker from its reports.
-	attendance struct {
+	workerSession struct {
 		report *wire.AttendRequest
 		reply  func(*wire.WorkerAnswer)
 		// registering is set while a registration or loss is proposed.
-		registering bool
-		ending      map[string]uint32
+		registering         bool
+		proposedCompletions map[string]uint32
 	}
 
 	pendingPlacement struct {
@@ -85,22 +85,22 @@
 
 	// Planner decides for one control replica while it leads.
 	Planner struct {
-		options Options
-		since   time.Time
-		leases  *lease.Table
-		workers map[string]*attendance
-		pending map[string]pendingPlacement
+		options     Options
+		leaderSince time.Time
+		leases      *lease.Table
+		sessions    map[string]*workerSession
+		pending     map[string]pendingPlacement
 		// taken and claimed are the sums of pending, by worker and account.
-		taken, claimed map[string]state.Resources
-		evicting       map[string]uint32
-		losing         map[string]bool
-		health         *health
+		assumedByWorker, assumedByAccount map[string]state.Resources
+		evicting                          map[string]uint32
+		losing                            map[string]bool
+		health                            *health
 
-		dirty    bool
-		passTook time.Duration
+		dirty            bool
+		lastPassDuration time.Duration
 		// cursor is where the last choice among workers began.
-		cursor                         int
-		lastLoss, lastSweep, lastPlace time.Time
+		cursor                             int
+		lastLossCheck, lastSweep, lastPass time.Time
 	}
 )
 
@@ -115,11 +115,11 @@
 }
 
 func (p *Planner) reset(since time.Time) {
-	p.since = since
+	p.leaderSince = since
 	p.leases = lease.NewTable(since, p.options.Lease, p.options.Overlap)
-	p.workers = map[string]*attendance{}
+	p.sessions = map[string]*workerSession{}
 	p.pending = map[string]pendingPlacement{}
-	p.taken, p.claimed = map[string]state.Resources{}, map[string]state.Resources{}
+	p.assumedByWorker, p.assumedByAccount = map[string]state.Resources{}, map[string]state.Resources{}
 	p.evicting, p.losing = map[string]uint32{}, map[string]bool{}
 	p.health = newHealth()
 	p.dirty = true
@@ -127,35 +127,35 @@
 
 // Turn does what is due. It is called on the control loop, often.
 func (p *Planner) Tick(now time.Time) {
-	if !p.leading() {
+	if !p.checkLeadership() {
 		return
 	}
-	if now.Sub(p.lastLoss) >= lossInterval {
-		p.lastLoss = now
+	if now.Sub(p.lastLossCheck) >= lossCheckInterval {
+		p.lastLossCheck = now
 		p.declareLost(now)
 	}
 	if now.Sub(p.lastSweep) >= sweepInterval {
 		p.lastSweep = now
 		p.options.Propose(&wire.Command{Body: &wire.Command_Sweep{Sweep: &wire.Sweep{}}}, func(state.Result, error) {})
 	}
-	waited := now.Sub(p.lastPlace)
-	if (p.dirty && waited >= max(placeInterval, placeRest*p.passTook)) || waited >= retryInterval {
-		p.lastPlace, p.dirty = now, false
+	waited := now.Sub(p.lastPass)
+	if (p.dirty && waited >= max(minPassInterval, passRestFactor*p.lastPassDuration)) || waited >= passRetryInterval {
+		p.lastPass, p.dirty = now, false
 		began := time.Now()
 		p.placePass(now)
-		p.passTook = time.Since(began)
-		placeSeconds.Update(p.passTook.Seconds())
+		p.lastPassDuration = time.Since(began)
+		placeSeconds.Update(p.lastPassDuration.Seconds())
 	}
 }
 
 // leading drops the soft state when leadership was gained anew: what another
 // leader granted or proposed meanwhile isn't in it.
-func (p *Planner) leading() bool {
+func (p *Planner) checkLeadership() bool {
 	since, ok := p.options.IsLeader()
 	if !ok {
 		return false
 	}
-	if !since.Equal(p.since) {
+	if !since.Equal(p.leaderSince) {
 		p.reset(since)
 	}
 	return true
@@ -177,22 +177,22 @@
 		if p.losing[id] || !p.leases.Expired(id, incarnation, now) {
 			continue
 		}
-		p.lose(id, incarnation)
+		p.proposeLoss(id, incarnation)
 	}
 }
 
 // lose proposes the loss. From here on this leader grants the incarnation
 // nothing, though the command may take a while to be committed.
-func (p *Planner) lose(id, incarnation string) {
+func (p *Planner) proposeLoss(id, incarnation string) {
 	p.losing[id] = true
-	since := p.since
-	a := p.workers[id]
+	since := p.leaderSince
+	a := p.sessions[id]
 	replaced := a != nil && a.report.Worker.Incarnation != incarnation
 	command := &wire.Command{Body: &wire.Command_LoseWorker{LoseWorker: &wire.LoseWorker{
 		WorkerId: id, Incarnation: incarnation, Replaced: replaced,
 	}}}
 	p.options.Propose(command, func(r state.Result, err error) {
-		if !p.since.Equal(since) {
+		if !p.leaderSince.Equal(since) {
 			return
 		}
 		delete(p.losing, id)
@@ -201,8 +201,8 @@
 		}
 		lostTotal.Inc()
 		p.leases.Remove(id)
-		if a := p.workers[id]; a != nil && a.report.Worker.Incarnation == incarnation {
-			delete(p.workers, id)
+		if a := p.sessions[id]; a != nil && a.report.Worker.Incarnation == incarnation {
+			delete(p.sessions, id)
 		}
 		p.options.Logger.Warn("worker lost", "worker", id, "incarnation", incarnation, "replaced", replaced)
 		p.dirty = true
--- a/internal/sched/plan/report.go
+++ b/internal/sched/plan/report.go
@@ -15,7 +15,7 @@
 
 const (
 	maxTasksReported = 4096
-	maxName          = 128
+	maxNameBytes     = 128
 	// Bounds on what a worker can be; anything beyond is a garbled report.
 	maxMilliProcessors = 10_000_000
 	maxMemoryBytes     = 1 << 50
@@ -31,10 +31,10 @@
 	w := r.GetWorker()
 	c := w.GetCapacity()
 	switch {
-	case w.GetWorkerId() == "" || len(w.WorkerId) > maxName:
-		return fmt.Errorf("%w: Worker.WorkerId must have 1 to %d bytes", ErrInvalidReport, maxName)
-	case w.Incarnation == "" || len(w.Incarnation) > maxName:
-		return fmt.Errorf("%w: Worker.Incarnation must have 1 to %d bytes", ErrInvalidReport, maxName)
+	case w.GetWorkerId() == "" || len(w.WorkerId) > maxNameBytes:
+		return fmt.Errorf("%w: Worker.WorkerId must have 1 to %d bytes", ErrInvalidReport, maxNameBytes)
+	case w.Incarnation == "" || len(w.Incarnation) > maxNameBytes:
+		return fmt.Errorf("%w: Worker.Incarnation must have 1 to %d bytes", ErrInvalidReport, maxNameBytes)
 	case r.Sequence == 0:
 		return fmt.Errorf("%w: Sequence must be at least 1", ErrInvalidReport)
 	case c.GetMilliProcessors() == 0 || c.MilliProcessors > maxMilliProcessors:
@@ -60,7 +60,7 @@
 
 // Report hears one worker. Reply sends answers to it, now and later.
 func (p *Planner) HandleReport(now time.Time, r *wire.AttendRequest, reply func(*wire.WorkerAnswer)) {
-	if !p.leading() {
+	if !p.checkLeadership() {
 		return
 	}
 	reportsTotal.Inc()
@@ -68,28 +68,28 @@
 		reportsRefused.Inc()
 		return
 	}
-	a := p.workers[r.Worker.WorkerId]
+	a := p.sessions[r.Worker.WorkerId]
 	if a != nil && a.report.Worker.Incarnation == r.Worker.Incarnation && r.Sequence <= a.report.Sequence {
 		return // overtaken on its way through another entry
 	}
 	if a == nil || a.report.Worker.Incarnation != r.Worker.Incarnation {
-		a = &attendance{ending: map[string]uint32{}}
-		p.workers[r.Worker.WorkerId] = a
+		a = &workerSession{proposedCompletions: map[string]uint32{}}
+		p.sessions[r.Worker.WorkerId] = a
 	}
 	a.report, a.reply = r, reply
 	if !p.admit(now, a) {
-		p.answer(a, nil, nil)
+		p.sendAnswer(a, nil, nil)
 		return
 	}
-	p.proposeEnds(a)
+	p.proposeCompletions(a)
 	p.proposeCheckpoints(a)
-	p.answer(a, p.grant(now, a), p.orders(a))
+	p.sendAnswer(a, p.grantLease(now, a), p.ordersFor(a))
 }
 
 // admit tells whether this incarnation is the registered one, and takes the
 // steps that make it so: the incarnation before it must be lost first, which
 // waits for its lease, since its tasks may run on.
-func (p *Planner) admit(now time.Time, a *attendance) bool {
+func (p *Planner) admit(now time.Time, a *workerSession) bool {
 	w := a.report.Worker
 	known := p.options.Machine.Worker(w.WorkerId)
 	if known != nil && known.Record.Incarnation == w.Incarnation {
@@ -97,7 +97,7 @@
 	}
 	if known != nil {
 		if !p.losing[w.WorkerId] && p.leases.Expired(w.WorkerId, known.Record.Incarnation, now) {
-			p.lose(w.WorkerId, known.Record.Incarnation)
+			p.proposeLoss(w.WorkerId, known.Record.Incarnation)
 		}
 		return false
 	}
@@ -107,13 +107,13 @@
 	return false
 }
 
-func (p *Planner) register(now time.Time, a *attendance) {
+func (p *Planner) register(now time.Time, a *workerSession) {
 	a.registering = true
 	p.leases.Register(a.report.Worker.WorkerId, a.report.Worker.Incarnation, now)
 	command := &wire.Command{Body: &wire.Command_RegisterWorker{RegisterWorker: a.report.Worker}}
 	p.options.Propose(command, func(r state.Result, err error) {
 		a.registering = false
-		if err != nil || r.Err != nil || p.workers[a.report.Worker.WorkerId] != a {
+		if err != nil || r.Err != nil || p.sessions[a.report.Worker.WorkerId] != a {
 			return
 		}
 		p.dirty = true
@@ -125,7 +125,7 @@
 // grant returns a lease if this replica surely led a moment ago. A leader that
 // was frozen or cut off for longer than an election timeout may have a
 // successor, which counts lost workers from its own start.
-func (p *Planner) grant(now time.Time, a *attendance) *durationpb.Duration {
+func (p *Planner) grantLease(now time.Time, a *workerSession) *durationpb.Duration {
 	if now.Sub(p.options.ConfirmedAt()) >= p.options.Overlap {
 		leasesWithheld.Inc()
 		return nil
@@ -139,7 +139,7 @@
 	return durationpb.New(d)
 }
 
-func (p *Planner) answer(a *attendance, granted *durationpb.Duration, orders []*wire.TaskOrder) {
+func (p *Planner) sendAnswer(a *workerSession, granted *durationpb.Duration, orders []*wire.TaskOrder) {
 	w := a.report.Worker
 	a.reply(&wire.WorkerAnswer{
 		WorkerId: w.WorkerId, Incarnation: w.Incarnation,
@@ -147,26 +147,26 @@
 	})
 }
 
-// proposeEnds commits the ends that a report tells of. The worker goes on
+// proposeCompletions commits the ends that a report tells of. The worker goes on
 // reporting each until the state no longer holds the attempt.
-func (p *Planner) proposeEnds(a *attendance) {
+func (p *Planner) proposeCompletions(a *workerSession) {
 	for _, t := range a.report.Tasks {
-		if t.State == wire.TaskState_TASK_STATE_RUNNING || a.ending[t.JobId] == t.Attempt {
+		if t.State == wire.TaskState_TASK_STATE_RUNNING || a.proposedCompletions[t.JobId] == t.Attempt {
 			continue
 		}
-		if !p.holds(a, t) {
+		if !p.isAssigned(a, t) {
 			continue
 		}
-		p.proposeEnd(a, t)
+		p.proposeCompletion(a, t)
 	}
 }
 
-func (p *Planner) proposeEnd(a *attendance, t *wire.TaskReport) {
-	a.ending[t.JobId] = t.Attempt
+func (p *Planner) proposeCompletion(a *workerSession, t *wire.TaskReport) {
+	a.proposedCompletions[t.JobId] = t.Attempt
 	worker := a.report.Worker.WorkerId
 	command := &wire.Command{Body: &wire.Command_EndTask{EndTask: &wire.EndTask{Report: t, WorkerId: worker}}}
 	p.options.Propose(command, func(r state.Result, err error) {
-		delete(a.ending, t.JobId)
+		delete(a.proposedCompletions, t.JobId)
 		if err != nil {
 			return // the next report brings it again
 		}
@@ -175,14 +175,14 @@
 			delete(p.evicting, t.JobId)
 		}
 		if r.Err == nil {
-			p.noteEnd(worker, r.Job, t)
+			p.recordCompletion(worker, r.Job, t)
 		}
-		p.answer(a, nil, []*wire.TaskOrder{{Kind: wire.OrderKind_ORDER_KIND_FORGET, JobId: t.JobId, Attempt: t.Attempt}})
+		p.sendAnswer(a, nil, []*wire.TaskOrder{{Kind: wire.OrderKind_ORDER_KIND_FORGET, JobId: t.JobId, Attempt: t.Attempt}})
 	})
 }
 
 // holds tells whether the state has this attempt running on this worker.
-func (p *Planner) holds(a *attendance, t *wire.TaskReport) bool {
+func (p *Planner) isAssigned(a *workerSession, t *wire.TaskReport) bool {
 	w := p.options.Machine.Worker(a.report.Worker.WorkerId)
 	if w == nil {
 		return false
@@ -191,10 +191,10 @@
 	return j != nil && j.Attempt == t.Attempt
 }
 
-func (p *Planner) proposeCheckpoints(a *attendance) {
+func (p *Planner) proposeCheckpoints(a *workerSession) {
 	var fresh []*wire.TaskReport
 	for _, t := range a.report.Tasks {
-		if t.State != wire.TaskState_TASK_STATE_RUNNING || !p.holds(a, t) {
+		if t.State != wire.TaskState_TASK_STATE_RUNNING || !p.isAssigned(a, t) {
 			continue
 		}
 		if t.Checkpoint > p.options.Machine.Job(t.JobId).Checkpoint {
@@ -209,12 +209,12 @@
 }
 
 // orders compares what the worker reports with what it should hold.
-func (p *Planner) orders(a *attendance) []*wire.TaskOrder {
+func (p *Planner) ordersFor(a *workerSession) []*wire.TaskOrder {
 	reported := map[string]*wire.TaskReport{}
 	var orders []*wire.TaskOrder
 	for _, t := range a.report.Tasks {
 		reported[t.JobId] = t
-		if !p.holds(a, t) {
+		if !p.isAssigned(a, t) {
 			orders = append(orders, &wire.TaskOrder{Kind: wire.OrderKind_ORDER_KIND_FORGET, JobId: t.JobId, Attempt: t.Attempt})
 		}
 	}
--- a/internal/sched/plan/sim_test.go
+++ b/internal/sched/plan/sim_test.go
@@ -26,9 +26,9 @@
 
 type (
 	simTask struct {
-		order *wire.TaskOrder
-		left  int
-		ended *wire.TaskReport
+		order     *wire.TaskOrder
+		remaining int
+		ended     *wire.TaskReport
 	}
 
 	simWorker struct {
@@ -39,7 +39,7 @@
 		term            uint64
 		tasks           map[string]*simTask
 		frozenUntil     time.Time
-		bad             bool
+		faulty          bool
 		// attached is the leader that the worker's reports reach. It may have
 		// a successor by now.
 		attached *simLeader
@@ -69,12 +69,12 @@
 		leaders []*simLeader // the last one leads; earlier ones may think so
 		// crashing are the jobs that end every worker that starts them, crashes how many
 		// each has ended.
-		crashing  map[string]bool
-		crashes   map[string]int
-		ran       map[string]int
-		doing     map[string]string
-		broken    []string
-		evictions int
+		crashingJobs map[string]bool
+		crashes      map[string]int
+		completed    map[string]int
+		runningOn    map[string]string
+		violations   []string
+		evictions    int
 	}
 
 	simLeader struct {
@@ -88,7 +88,7 @@
 func newSim(seed uint64, workers int) *sim {
 	s := &sim{
 		random: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1000, 0), machine: state.New(state.Options{Retention: time.Hour}),
-		crashing: map[string]bool{}, crashes: map[string]int{}, ran: map[string]int{}, doing: map[string]string{},
+		crashingJobs: map[string]bool{}, crashes: map[string]int{}, completed: map[string]int{}, runningOn: map[string]string{},
 	}
 	need := &wire.Resources{MilliProcessors: 1000, MemoryBytes: 1}
 	s.machine.Apply(&wire.Command{Body: &wire.Command_ApplyConfiguration{ApplyConfiguration: &wire.ApplyConfigurationRequest{
@@ -131,7 +131,7 @@
 func (s *sim) chance(p float64) bool { return s.random.Float64() < p }
 
 // post runs f after a random delay, or never.
-func (s *sim) post(f func()) {
+func (s *sim) send(f func()) {
 	if s.chance(0.03) {
 		return
 	}
@@ -157,7 +157,7 @@
 		l.confirmed = s.now
 		l.planner.Tick(s.now)
 		for _, w := range s.workers {
-			s.work(w)
+			s.stepWorker(w)
 		}
 	}
 }
@@ -195,7 +195,7 @@
 	}
 }
 
-func (s *sim) work(w *simWorker) {
+func (s *sim) stepWorker(w *simWorker) {
 	if s.now.Before(w.frozenUntil) {
 		return
 	}
@@ -204,7 +204,7 @@
 		return
 	}
 	if !s.now.Before(w.leaseEnd) {
-		s.drop(w)
+		s.dropTasks(w)
 	}
 	if s.chance(0.0003) {
 		s.restart(w)
@@ -219,7 +219,7 @@
 
 // restart ends a worker's process with all that runs there, and starts the next one.
 func (s *sim) restart(w *simWorker) {
-	s.drop(w)
+	s.dropTasks(w)
 	clear(w.tasks)
 	w.incarnation, w.sequence, w.leaseEnd = w.incarnation+"x", 0, time.Time{}
 }
@@ -234,18 +234,18 @@
 }
 
 // drop is what a worker does without a lease.
-func (s *sim) drop(w *simWorker) {
+func (s *sim) dropTasks(w *simWorker) {
 	for _, id := range sortedTasks(w) {
 		if w.tasks[id].ended == nil {
-			s.leave(w, id)
+			s.clearRunning(w, id)
 			delete(w.tasks, id)
 		}
 	}
 }
 
-func (s *sim) leave(w *simWorker, id string) {
-	if s.doing[id] == w.id {
-		delete(s.doing, id)
+func (s *sim) clearRunning(w *simWorker, id string) {
+	if s.runningOn[id] == w.id {
+		delete(s.runningOn, id)
 	}
 }
 
@@ -253,18 +253,18 @@
 	if t.ended != nil {
 		return
 	}
-	t.left--
-	if t.left > 0 {
+	t.remaining--
+	if t.remaining > 0 {
 		return
 	}
 	end := wire.TaskState_TASK_STATE_FINISHED
-	if w.bad {
+	if w.faulty {
 		end = wire.TaskState_TASK_STATE_FAILED
 	} else {
-		s.ran[id]++
+		s.completed[id]++
 	}
 	t.ended = &wire.TaskReport{JobId: id, Attempt: t.order.Attempt, State: end}
-	s.leave(w, id)
+	s.clearRunning(w, id)
 }
 
 func (s *sim) report(w *simWorker) {
@@ -285,14 +285,14 @@
 		w.attached = s.leader()
 	}
 	to := w.attached
-	s.post(func() {
-		to.planner.HandleReport(s.now, r, func(a *wire.WorkerAnswer) { s.post(func() { s.hear(w, a) }) })
+	s.send(func() {
+		to.planner.HandleReport(s.now, r, func(a *wire.WorkerAnswer) { s.send(func() { s.handleAnswer(w, a) }) })
 	})
 }
 
-func (s *sim) hear(w *simWorker, a *wire.WorkerAnswer) {
+func (s *sim) handleAnswer(w *simWorker, a *wire.WorkerAnswer) {
 	if s.now.Before(w.frozenUntil) {
-		s.queue = append(s.queue, simMessage{w.frozenUntil, func() { s.hear(w, a) }})
+		s.queue = append(s.queue, simMessage{w.frozenUntil, func() { s.handleAnswer(w, a) }})
 		return
 	}
 	if a.Incarnation != w.incarnation || a.Answer.Term < w.term {
@@ -307,7 +307,7 @@
 		w.leaseEnd = validUntil
 	}
 	for _, o := range a.Answer.Orders {
-		s.obey(w, o, validUntil)
+		s.execute(w, o, validUntil)
 	}
 }
 
@@ -322,32 +322,32 @@
 	return false
 }
 
-func (s *sim) obey(w *simWorker, o *wire.TaskOrder, validUntil time.Time) {
+func (s *sim) execute(w *simWorker, o *wire.TaskOrder, validUntil time.Time) {
 	t := w.tasks[o.JobId]
 	switch o.Kind {
 	case wire.OrderKind_ORDER_KIND_START:
 		if (t != nil && t.order.Attempt >= o.Attempt) || !s.now.Before(validUntil) {
 			return
 		}
-		if other, busy := s.doing[o.JobId]; busy && other != w.id && s.holdsLease(other) {
-			s.broken = append(s.broken, fmt.Sprintf("%v: job %s starts on %s while it runs on %s", s.now.Sub(time.Unix(1000, 0)), o.JobId, w.id, other))
+		if other, busy := s.runningOn[o.JobId]; busy && other != w.id && s.holdsLease(other) {
+			s.violations = append(s.violations, fmt.Sprintf("%v: job %s starts on %s while it runs on %s", s.now.Sub(time.Unix(1000, 0)), o.JobId, w.id, other))
 		}
-		if s.crashing[o.JobId] {
+		if s.crashingJobs[o.JobId] {
 			s.crashes[o.JobId]++
 			s.restart(w)
 			return
 		}
-		s.doing[o.JobId] = w.id
-		w.tasks[o.JobId] = &simTask{order: o, left: 5 + s.random.IntN(60)}
+		s.runningOn[o.JobId] = w.id
+		w.tasks[o.JobId] = &simTask{order: o, remaining: 5 + s.random.IntN(60)}
 	case wire.OrderKind_ORDER_KIND_STOP:
 		if t != nil && t.order.Attempt == o.Attempt && t.ended == nil {
 			t.ended = &wire.TaskReport{JobId: o.JobId, Attempt: o.Attempt, State: wire.TaskState_TASK_STATE_STOPPED}
 			s.evictions++
-			s.leave(w, o.JobId)
+			s.clearRunning(w, o.JobId)
 		}
 	case wire.OrderKind_ORDER_KIND_FORGET:
 		if t != nil && t.order.Attempt <= o.Attempt {
-			s.leave(w, o.JobId)
+			s.clearRunning(w, o.JobId)
 			delete(w.tasks, o.JobId)
 		}
 	default:
--- a/internal/sched/tails/save.go
+++ b/internal/sched/tails/save.go
@@ -1,4 +1,4 @@
-// This file defines how what is learned is handed to the next leader.
+// This file defines how a model is stored for the next leader.
 
 package tails
 
@@ -9,14 +9,14 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// Save returns what is known, in an order of its own.
+// Save returns the model's estimates in a deterministic order.
 func (m *Model) Save() *wire.Learned {
 	saved := &wire.Learned{Swing: &wire.LearnedSwing{
 		Samples: m.Variation.samples, Sum: m.Variation.sum, Squares: m.Variation.squares, Products: m.Variation.products, LagSeconds: m.Variation.lagSeconds,
 	}}
-	for of, known := range m.weights {
+	for pair, known := range m.weights {
 		saved.Pairs = append(saved.Pairs, &wire.LearnedPair{
-			Standing: of.standing, Beside: of.beside, Weight: float32(known.weight), Variance: float32(known.variance),
+			Standing: pair.standing, Beside: pair.opportunistic, Weight: float32(known.weight), Variance: float32(known.variance),
 		})
 	}
 	sort.Slice(saved.Pairs, func(i, k int) bool {
@@ -26,24 +26,24 @@
 		}
 		return a.Beside < b.Beside
 	})
-	for image, milliseconds := range m.floors {
+	for image, milliseconds := range m.minTails {
 		saved.Floors = append(saved.Floors, &wire.LearnedFloor{Image: image, Milliseconds: float32(milliseconds)})
 	}
 	sort.Slice(saved.Floors, func(i, k int) bool { return saved.Floors[i].Image < saved.Floors[k].Image })
 	return saved
 }
 
-// Restore returns a model that knows what was saved, as of now.
+// Restore returns a model with saved estimates. Their variances grow from now on.
 func Restore(saved *wire.Learned, now time.Duration) Model {
-	m := Model{weights: map[pair]estimate{}, floors: map[string]float64{}}
+	m := Model{weights: map[imagePair]estimate{}, minTails: map[string]float64{}}
 	if s := saved.GetSwing(); s != nil {
 		m.Variation = Variation{samples: s.Samples, sum: s.Sum, squares: s.Squares, products: s.Products, lagSeconds: s.LagSeconds}
 	}
 	for _, p := range saved.GetPairs() {
-		m.weights[pair{p.Standing, p.Beside}] = estimate{weight: float64(p.Weight), variance: float64(p.Variance), at: now}
+		m.weights[imagePair{p.Standing, p.Beside}] = estimate{weight: float64(p.Weight), variance: float64(p.Variance), at: now}
 	}
 	for _, f := range saved.GetFloors() {
-		m.floors[f.Image] = float64(f.Milliseconds)
+		m.minTails[f.Image] = float64(f.Milliseconds)
 	}
 	return m
 }
--- a/internal/store/graph/apply.go
+++ b/internal/store/graph/apply.go
@@ -42,24 +42,24 @@
 	case *wire.WorkCommand_PutAgent:
 		return Result{Err: g.putAgent(body.PutAgent)}
 	case *wire.WorkCommand_DropAgent:
-		return Result{Err: g.dropAgent(at, body.DropAgent)}
+		return Result{Err: g.removeAgent(at, body.DropAgent)}
 	case *wire.WorkCommand_Place:
-		return g.place(body.Place)
+		return g.placeRuns(body.Place)
 	case *wire.WorkCommand_End:
 		for _, e := range body.End.Ends {
-			g.end(at, e)
+			g.endRun(at, e)
 		}
 		return Result{}
 	case *wire.WorkCommand_Learned:
-		g.learned = body.Learned
+		g.estimates = body.Learned
 		return Result{}
 	case *wire.WorkCommand_DrainDomain:
-		return Result{Err: g.drain(at, body.DrainDomain)}
+		return Result{Err: g.setDrained(at, body.DrainDomain)}
 	case *wire.WorkCommand_SilentAgents:
-		g.noteSilence(body.SilentAgents.Agents)
+		g.setLeaseExpiries(body.SilentAgents.Agents)
 		return Result{}
 	case *wire.WorkCommand_Forget:
-		g.forget(body.Forget.EndedBefore.AsTime())
+		g.removeExpired(body.Forget.EndedBefore.AsTime())
 		return Result{}
 	default:
 		return Result{}
@@ -73,18 +73,18 @@
 		return Result{}
 	}
 	g.setCatalog(c)
-	g.changed()
+	g.notifyChange()
 	return Result{}
 }
 
 func (g *Graph) setCatalog(c *wire.Catalog) {
 	g.catalog = c
 	clear(g.queues)
-	clear(g.byHost)
+	clear(g.queuesByHost)
 	clear(g.pools)
 	for _, q := range c.Queues {
 		g.queues[q.Name] = q
-		g.byHost[q.Host] = append(g.byHost[q.Host], q)
+		g.queuesByHost[q.Host] = append(g.queuesByHost[q.Host], q)
 	}
 	for _, p := range c.Pools {
 		g.pools[p.Name] = p
@@ -108,42 +108,42 @@
 		ID: s.Job, Queue: s.Queue, Pool: q.Pool, Spec: s.Spec,
 		State: wire.WorkState_WORK_STATE_QUEUED, AcceptedAt: at, Sequence: g.sequence,
 	}
-	j.build()
+	j.buildStages()
 	g.addJob(j)
-	g.changed()
+	g.notifyChange()
 	return nil
 }
 
 func (g *Graph) addJob(j *Job) {
 	g.jobs[j.ID] = j
-	if !j.begun && !j.Ended() {
-		g.pending[j.Queue]++
+	if !j.started && !j.Ended() {
+		g.pendingJobs[j.Queue]++
 	}
 	for _, stages := range j.Occurrences {
 		for _, s := range stages {
-			g.noteReady(s)
+			g.updateReady(s)
 		}
 	}
 }
 
-// noteReady keeps the set of ready stages true for one stage.
-func (g *Graph) noteReady(s *Stage) {
+// updateReady keeps the set of ready stages true for one stage.
+func (g *Graph) updateReady(s *Stage) {
 	if !s.Ready() {
-		delete(g.ready, s)
+		delete(g.readyStages, s)
 		return
 	}
-	if !g.ready[s] && g.OnStageReady != nil {
+	if !g.readyStages[s] && g.OnStageReady != nil {
 		g.OnStageReady(s)
 	}
-	g.ready[s] = true
+	g.readyStages[s] = true
 }
 
-func (g *Graph) begin(j *Job) {
-	if j.begun {
+func (g *Graph) markStarted(j *Job) {
+	if j.started {
 		return
 	}
-	j.begun = true
-	g.pending[j.Queue]--
+	j.started = true
+	g.pendingJobs[j.Queue]--
 	if !j.Ended() {
 		j.State = wire.WorkState_WORK_STATE_RUNNING
 	}
@@ -155,37 +155,37 @@
 	if j == nil || j.Queue != c.Queue {
 		return ErrUnknownJob
 	}
-	g.finish(at, j, wire.WorkState_WORK_STATE_CANCELLED)
+	g.finishJob(at, j, wire.WorkState_WORK_STATE_CANCELLED)
 	return nil
 }
 
-func (g *Graph) finish(at time.Time, j *Job, state wire.WorkState) {
+func (g *Graph) finishJob(at time.Time, j *Job, state wire.WorkState) {
 	if j.Ended() {
 		return
 	}
-	if !j.begun {
-		g.pending[j.Queue]--
-		j.begun = true
+	if !j.started {
+		g.pendingJobs[j.Queue]--
+		j.started = true
 	}
 	j.State, j.EndedAt = state, at
 	for _, stages := range j.Occurrences {
 		for _, s := range stages {
-			delete(g.ready, s)
-			g.touchRuns(s)
+			delete(g.readyStages, s)
+			g.notifyRunAgents(s)
 		}
 	}
 	if g.OnJobFinished != nil {
 		g.OnJobFinished(j)
 	}
-	j.thin()
-	g.changed()
+	j.compact()
+	g.notifyChange()
 }
 
-// touchRuns touches the agents on which runs of a stage may exist: they are to be
+// notifyRunAgents touches the agents on which runs of a stage may exist: they are to be
 // stopped.
-func (g *Graph) touchRuns(s *Stage) {
+func (g *Graph) notifyRunAgents(s *Stage) {
 	for _, t := range s.Tasks {
-		g.touch(t.Agent)
+		g.notifyAgentChange(t.Agent)
 	}
 }
 
@@ -195,11 +195,11 @@
 	if g.AgentRemoved(r.Id) {
 		return ErrUnknownAgent
 	}
-	defer g.touch(r.Id)
+	defer g.notifyAgentChange(r.Id)
 	known := g.agents[r.Id]
 	if known == nil {
 		g.agents[r.Id] = &Agent{Record: r, Tasks: map[*Task]bool{}}
-		g.changed()
+		g.notifyChange()
 		return nil
 	}
 	if known.Record.Incarnation != 0 && r.Incarnation != known.Record.Incarnation {
@@ -213,39 +213,39 @@
 		r.Leaving = true
 	}
 	known.Record = r
-	g.changed()
+	g.notifyChange()
 	return nil
 }
 
-// dropAgent forgets an agent that is surely gone, and with it all that ran
+// removeAgent forgets an agent that is surely gone, and with it all that ran
 // there.
-func (g *Graph) dropAgent(at time.Time, d *wire.DropAgent) error {
+func (g *Graph) removeAgent(at time.Time, d *wire.DropAgent) error {
 	r := g.agents[d.Id]
 	if r == nil {
 		return ErrUnknownAgent
 	}
 	for _, t := range sortedTasks(r.Tasks) {
-		g.release(t)
+		g.releaseRun(t)
 	}
 	delete(g.agents, d.Id)
-	g.dropped[d.Id] = at
-	g.touch(d.Id)
-	g.changed()
+	g.removedAgents[d.Id] = at
+	g.notifyAgentChange(d.Id)
+	g.notifyChange()
 	return nil
 }
 
-func (g *Graph) forget(endedBefore time.Time) {
+func (g *Graph) removeExpired(endedBefore time.Time) {
 	for id, j := range g.jobs {
-		if j.Ended() && j.EndedAt.Before(endedBefore) && !j.mayRun() {
+		if j.Ended() && j.EndedAt.Before(endedBefore) && !j.mayHaveRuns() {
 			delete(g.jobs, id)
 		}
 	}
-	for id, at := range g.dropped {
+	for id, at := range g.removedAgents {
 		if at.Before(endedBefore) {
-			delete(g.dropped, id)
+			delete(g.removedAgents, id)
 		}
 	}
 }
 
-// mayRun tells whether a run of the job may still exist somewhere.
-func (j *Job) mayRun() bool { return j.placed > 0 }
+// mayHaveRuns tells whether a run of the job may still exist somewhere.
+func (j *Job) mayHaveRuns() bool { return j.activeRuns > 0 }
--- a/internal/store/graph/check.go
+++ b/internal/store/graph/check.go
@@ -17,8 +17,8 @@
 	// can't fill the memory of a control replica; 50,000 take about 10 MB.
 	maxTasks = 50000
 	maxSteps = 1000
-	// idDigits is the length of a job's id in hexadecimal digits.
-	idDigits = 16
+	// idLength is the length of a job's id in hexadecimal digits.
+	idLength = 16
 )
 
 // ErrInvalid is wrapped by all errors about content that can't be taken.
@@ -26,8 +26,8 @@
 
 // CheckID tells whether a job's id has the right form.
 func CheckID(id string) error {
-	if len(id) != idDigits {
-		return fmt.Errorf("%w: a job's id has %d hexadecimal digits, not %d characters", ErrInvalid, idDigits, len(id))
+	if len(id) != idLength {
+		return fmt.Errorf("%w: a job's id has %d hexadecimal digits, not %d characters", ErrInvalid, idLength, len(id))
 	}
 	for _, c := range id {
 		if (c < '0' || c > '9') && (c < 'a' || c > 'f') && (c < 'A' || c > 'F') {
--- a/internal/store/graph/crash_test.go
+++ b/internal/store/graph/crash_test.go
@@ -40,9 +40,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := prepared(t, &wire.Step{Count: 1, Standing: c.standing})
+			g := newTestGraph(t, &wire.Step{Count: 1, Standing: c.standing})
 			for i, outcome := range c.ends {
-				id := runOf(0, 0, uint32(i+1))
+				id := runID(0, 0, uint32(i+1))
 				assert.NilError(t, g.Apply(noon, placeCommand("a1", id)).PlacementErrors[0])
 				end := endCommand("a1", id, outcome)
 				g.Apply(noon, end)
@@ -53,7 +53,7 @@
 				g = loaded
 			}
 			assert.Equal(t, g.Job(jobID).State, c.want)
-			if task := g.FindTask(runOf(0, 0, 1)); task != nil {
+			if task := g.FindTask(runID(0, 0, 1)); task != nil {
 				assert.Equal(t, task.OnFinalAttempt(), c.lastTry)
 			}
 		})
--- a/internal/store/graph/drain.go
+++ b/internal/store/graph/drain.go
@@ -20,14 +20,14 @@
 
 // Why a placement, or a drain, changes nothing.
 var (
-	ErrDrained        = errors.New("the agent's failure domain is drained")
-	ErrTooManyDrained = fmt.Errorf("%w: %d failure domains are drained already", ErrInvalid, maxDrainedDomains)
-	errBadDomain      = fmt.Errorf("%w: a failure domain is named by lower-case letters, digits and hyphens, 64 at most", ErrInvalid)
-	errUnnamedDomain  = fmt.Errorf("%w: no failure domain is named", ErrInvalid)
+	ErrDrained           = errors.New("the agent's failure domain is drained")
+	ErrTooManyDrained    = fmt.Errorf("%w: %d failure domains are drained already", ErrInvalid, maxDrainedDomains)
+	errInvalidDomainName = fmt.Errorf("%w: a failure domain is named by lower-case letters, digits and hyphens, 64 at most", ErrInvalid)
+	errEmptyDomainName   = fmt.Errorf("%w: no failure domain is named", ErrInvalid)
 )
 
 // drains are the failure domains that get no new work. The zero value has none.
-type drains struct {
+type drainState struct {
 	since map[string]time.Time
 	// revision rises with each change, so that whoever is told of the domains by several
 	// replicas knows the latest.
@@ -38,9 +38,9 @@
 func CheckDomain(name string) error {
 	switch {
 	case name == "":
-		return errUnnamedDomain
+		return errEmptyDomainName
 	case !setup.NamePattern.MatchString(name):
-		return errBadDomain
+		return errInvalidDomainName
 	default:
 		return nil
 	}
@@ -85,7 +85,7 @@
 
 // drain keeps new work out of a failure domain, or restores it. What runs there isn't
 // touched. A repeated order changes nothing, which is no error.
-func (g *Graph) drain(at time.Time, d *wire.DrainDomain) error {
+func (g *Graph) setDrained(at time.Time, d *wire.DrainDomain) error {
 	if g.Drained(d.FailureDomain) != d.Restore {
 		return nil
 	}
@@ -98,11 +98,11 @@
 		g.drains.since[d.FailureDomain] = at
 	}
 	g.drains.revision++
-	g.changed()
+	g.notifyChange()
 	return nil
 }
 
-func (d *drains) save(image *wire.WorkImage) {
+func (d *drainState) save(image *wire.WorkImage) {
 	image.DrainRevision = d.revision
 	image.DrainedDomains = map[string]*timestamppb.Timestamp{}
 	for name, since := range d.since {
@@ -110,7 +110,7 @@
 	}
 }
 
-func (d *drains) load(image *wire.WorkImage) {
+func (d *drainState) load(image *wire.WorkImage) {
 	d.revision = image.DrainRevision
 	for name, since := range image.DrainedDomains {
 		d.since[name] = since.AsTime()
--- a/internal/store/graph/drain_test.go
+++ b/internal/store/graph/drain_test.go
@@ -17,10 +17,10 @@
 	return &wire.WorkCommand{Body: &wire.WorkCommand_DrainDomain{DrainDomain: &wire.DrainDomain{FailureDomain: domain, Restore: restore}}}
 }
 
-// inDomains is a state with an agent in each of two failure domains, and a job.
-func inDomains(t *testing.T) *Graph {
+// newTestGraphWithDomains is a state with an agent in each of two failure domains, and a job.
+func newTestGraphWithDomains(t *testing.T) *Graph {
 	t.Helper()
-	g := prepared(t, &wire.Step{Count: 2})
+	g := newTestGraph(t, &wire.Step{Count: 2})
 	for agent, domain := range map[string]string{"a1": "east", "a2": "west"} {
 		put := agentCommand(agent, false)
 		put.GetPutAgent().FailureDomain = domain
@@ -29,18 +29,18 @@
 	return g
 }
 
-func TestDrainedDomainTakesNoRuns(t *testing.T) {
-	g := inDomains(t)
+func TestDrainedDomainRefusesRuns(t *testing.T) {
+	g := newTestGraphWithDomains(t)
 	assert.NilError(t, g.Apply(noon, drainCommand("east", false)).Err)
-	assert.ErrorIs(t, g.Apply(noon, placeCommand("a1", runOf(0, 0, 1))).PlacementErrors[0], ErrDrained)
-	assert.NilError(t, g.Apply(noon, placeCommand("a2", runOf(0, 1, 1))).PlacementErrors[0])
+	assert.ErrorIs(t, g.Apply(noon, placeCommand("a1", runID(0, 0, 1))).PlacementErrors[0], ErrDrained)
+	assert.NilError(t, g.Apply(noon, placeCommand("a2", runID(0, 1, 1))).PlacementErrors[0])
 	assert.NilError(t, g.Apply(noon, drainCommand("east", true)).Err)
-	assert.NilError(t, g.Apply(noon, placeCommand("a1", runOf(0, 0, 1))).PlacementErrors[0])
+	assert.NilError(t, g.Apply(noon, placeCommand("a1", runID(0, 0, 1))).PlacementErrors[0])
 }
 
 // Guards against a repeated order being refused, or taken for a change.
 func TestDrainIsIdempotent(t *testing.T) {
-	g := inDomains(t)
+	g := newTestGraphWithDomains(t)
 	for range 2 {
 		assert.NilError(t, g.Apply(noon, drainCommand("east", false)).Err)
 	}
@@ -57,8 +57,8 @@
 }
 
 // Guards against a drain that a replica forgets when it starts from a snapshot.
-func TestDrainIsInSnapshots(t *testing.T) {
-	g := inDomains(t)
+func TestDrainSurvivesSnapshot(t *testing.T) {
+	g := newTestGraphWithDomains(t)
 	g.Apply(noon, drainCommand("east", false))
 	loaded := New()
 	loaded.Load(g.Save())
@@ -75,7 +75,7 @@
 }
 
 func TestDrainedDomainsAreBounded(t *testing.T) {
-	g := inDomains(t)
+	g := newTestGraphWithDomains(t)
 	for i := range maxDrainedDomains {
 		assert.NilError(t, g.Apply(noon, drainCommand(fmt.Sprint("d", i), false)).Err)
 	}
@@ -95,8 +95,8 @@
 }
 
 func TestDomainsAreListed(t *testing.T) {
-	g := inDomains(t)
-	g.Apply(noon, placeCommand("a2", runOf(0, 0, 1)))
+	g := newTestGraphWithDomains(t)
+	g.Apply(noon, placeCommand("a2", runID(0, 0, 1)))
 	g.Apply(noon, drainCommand("nobody-there", false))
 	list := g.Domains()
 	assert.Equal(t, len(list), 3)
--- a/internal/store/graph/ended.go
+++ b/internal/store/graph/ended.go
@@ -7,21 +7,21 @@
 // thin keeps of the tasks of a job that is over only what may be asked for. A job's
 // state can be asked for minutes after its end; with 3,000 tasks a second that
 // is hundreds of thousands of tasks in the memory of every replica and in each snapshot.
-func (j *Job) thin() {
-	if !j.Ended() || j.mayRun() {
+func (j *Job) compact() {
+	if !j.Ended() || j.mayHaveRuns() {
 		return
 	}
 	for _, stages := range j.Occurrences {
 		for _, s := range stages {
-			if s.ended == nil {
-				s.ended = s.summary()
+			if s.summary == nil {
+				s.summary = s.summarize()
 				s.Tasks = nil
 			}
 		}
 	}
 }
 
-func (s *Stage) summary() *wire.EndedStage {
+func (s *Stage) summarize() *wire.EndedStage {
 	sum := &wire.EndedStage{
 		Occurrence: s.Occurrence, Step: s.Index,
 		Runs: make([]uint32, len(s.Tasks)), Failures: make([]uint32, len(s.Tasks)), Done: make([]bool, len(s.Tasks)),
@@ -33,9 +33,9 @@
 	return sum
 }
 
-// endedTasks are the tasks of a stage of which only a summary is left, as far as they
+// tasksFromSummary are the tasks of a stage of which only a summary is left, as far as they
 // were placed.
-func endedTasks(sum *wire.EndedStage) []*wire.WorkTask {
+func tasksFromSummary(sum *wire.EndedStage) []*wire.WorkTask {
 	var tasks []*wire.WorkTask
 	for i := range sum.GetRuns() {
 		if sum.Runs[i] == 0 && !sum.Done[i] {
--- a/internal/store/graph/graph.go
+++ b/internal/store/graph/graph.go
@@ -30,18 +30,18 @@
 	// Graph is the state. The zero value isn't usable; see New. It isn't safe
 	// for concurrent use.
 	Graph struct {
-		catalog  *wire.Catalog
-		queues   map[string]*wire.Queue
-		byHost   map[string][]*wire.Queue
-		pools    map[string]*wire.WorkerPool
-		jobs     map[string]*Job
-		agents   map[string]*Agent
-		dropped  map[string]time.Time
-		ready    map[*Stage]bool
-		pending  map[string]int // accepted jobs without a begun task, by queue
-		sequence uint64
-		learned  *wire.Learned
-		drains   drains
+		catalog       *wire.Catalog
+		queues        map[string]*wire.Queue
+		queuesByHost  map[string][]*wire.Queue
+		pools         map[string]*wire.WorkerPool
+		jobs          map[string]*Job
+		agents        map[string]*Agent
+		removedAgents map[string]time.Time
+		readyStages   map[*Stage]bool
+		pendingJobs   map[string]int // accepted jobs without a begun task, by queue
+		sequence      uint64
+		estimates     *wire.Learned
+		drains        drainState
 		// Changed is called after each command that may have changed what is to
 		// be placed or where it may go; nil is allowed.
 		OnChange func()
@@ -71,16 +71,16 @@
 func (g *Graph) reset() {
 	g.catalog = &wire.Catalog{}
 	g.queues = map[string]*wire.Queue{}
-	g.byHost = map[string][]*wire.Queue{}
+	g.queuesByHost = map[string][]*wire.Queue{}
 	g.pools = map[string]*wire.WorkerPool{}
 	g.jobs = map[string]*Job{}
 	g.agents = map[string]*Agent{}
-	g.dropped = map[string]time.Time{}
-	g.ready = map[*Stage]bool{}
-	g.pending = map[string]int{}
+	g.removedAgents = map[string]time.Time{}
+	g.readyStages = map[*Stage]bool{}
+	g.pendingJobs = map[string]int{}
 	g.sequence = 0
-	g.learned = nil
-	g.drains = drains{since: map[string]time.Time{}}
+	g.estimates = nil
+	g.drains = drainState{since: map[string]time.Time{}}
 }
 
 // Catalog returns the catalog in force; version 0 is the empty one. It must
@@ -115,16 +115,16 @@
 // Dropped tells whether an agent of this id was dropped, and must not come
 // back: what it reports was sent before its end was settled.
 func (g *Graph) AgentRemoved(id string) bool {
-	_, ok := g.dropped[id]
+	_, ok := g.removedAgents[id]
 	return ok
 }
 
 // Learned is what earlier leaders learned of the work, or nil. It must not be
 // changed.
-func (g *Graph) Estimates() *wire.Learned { return g.learned }
+func (g *Graph) Estimates() *wire.Learned { return g.estimates }
 
 // Pending is the number of accepted jobs of a queue of which no task has begun.
-func (g *Graph) PendingJobs(queue string) int { return g.pending[queue] }
+func (g *Graph) PendingJobs(queue string) int { return g.pendingJobs[queue] }
 
 // Ready returns the stages that have tasks to place, whether due yet or not,
 // in the order in which their jobs were accepted.
@@ -136,8 +136,8 @@
 
 // ReadyStages returns the same stages in no order.
 func (g *Graph) ReadyStages() []*Stage {
-	stages := make([]*Stage, 0, len(g.ready))
-	for s := range g.ready {
+	stages := make([]*Stage, 0, len(g.readyStages))
+	for s := range g.readyStages {
 		stages = append(stages, s)
 	}
 	return stages
@@ -156,13 +156,13 @@
 	return stages[id.Step].Tasks[id.Index]
 }
 
-func (g *Graph) changed() {
+func (g *Graph) notifyChange() {
 	if g.OnChange != nil {
 		g.OnChange()
 	}
 }
 
-func (g *Graph) touch(agent string) {
+func (g *Graph) notifyAgentChange(agent string) {
 	if g.OnAgentChange != nil && agent != "" {
 		g.OnAgentChange(agent)
 	}
--- a/internal/store/graph/graph_test.go
+++ b/internal/store/graph/graph_test.go
@@ -51,12 +51,12 @@
 	return &wire.WorkCommand{Body: &wire.WorkCommand_End{End: &wire.EndRuns{Ends: []*wire.RunEnd{{Id: id, Agent: agent, Outcome: outcome}}}}}
 }
 
-func runOf(step, index, run uint32) *wire.RunId {
+func runID(step, index, run uint32) *wire.RunId {
 	return &wire.RunId{Job: jobID, Step: step, Index: index, Run: run}
 }
 
 // prepared is a state with a catalog, two agents and one job.
-func prepared(t *testing.T, steps ...*wire.Step) *Graph {
+func newTestGraph(t *testing.T, steps ...*wire.Step) *Graph {
 	t.Helper()
 	g := New()
 	for _, c := range []*wire.WorkCommand{catalog(1, 2), agentCommand("a1", false), agentCommand("a2", false), submitCommand(jobID, steps...)} {
@@ -72,20 +72,20 @@
 	assert.Equal(t, len(g.SortedReadyStages()), ready)
 }
 
-func TestStepsFollowOneAnother(t *testing.T) {
-	g := prepared(t, &wire.Step{Count: 2}, &wire.Step{Count: 1, After: []uint32{0}})
+func TestStepsRunInOrder(t *testing.T) {
+	g := newTestGraph(t, &wire.Step{Count: 2}, &wire.Step{Count: 1, After: []uint32{0}})
 	assertState(t, g, wire.WorkState_WORK_STATE_QUEUED, 1)
 	assert.Equal(t, g.PendingJobs("q"), 1)
-	assert.ErrorIs(t, g.Apply(noon, placeCommand("a1", runOf(1, 0, 1))).PlacementErrors[0], ErrNotReady)
-	g.Apply(noon, placeCommand("a1", runOf(0, 0, 1), runOf(0, 1, 1)))
+	assert.ErrorIs(t, g.Apply(noon, placeCommand("a1", runID(1, 0, 1))).PlacementErrors[0], ErrNotReady)
+	g.Apply(noon, placeCommand("a1", runID(0, 0, 1), runID(0, 1, 1)))
 	assertState(t, g, wire.WorkState_WORK_STATE_RUNNING, 0)
 	assert.Equal(t, g.PendingJobs("q"), 0)
-	g.Apply(noon, endCommand("a1", runOf(0, 0, 1), wire.RunOutcome_RUN_OUTCOME_DONE))
+	g.Apply(noon, endCommand("a1", runID(0, 0, 1), wire.RunOutcome_RUN_OUTCOME_DONE))
 	assertState(t, g, wire.WorkState_WORK_STATE_RUNNING, 0)
-	g.Apply(noon, endCommand("a1", runOf(0, 1, 1), wire.RunOutcome_RUN_OUTCOME_DONE))
+	g.Apply(noon, endCommand("a1", runID(0, 1, 1), wire.RunOutcome_RUN_OUTCOME_DONE))
 	assertState(t, g, wire.WorkState_WORK_STATE_RUNNING, 1)
-	g.Apply(noon, placeCommand("a2", runOf(1, 0, 1)))
-	g.Apply(noon, endCommand("a2", runOf(1, 0, 1), wire.RunOutcome_RUN_OUTCOME_DONE))
+	g.Apply(noon, placeCommand("a2", runID(1, 0, 1)))
+	g.Apply(noon, endCommand("a2", runID(1, 0, 1), wire.RunOutcome_RUN_OUTCOME_DONE))
 	assertState(t, g, wire.WorkState_WORK_STATE_COMPLETED, 0)
 }
 
@@ -93,19 +93,19 @@
 // load, and taking a snapshot holds up all else. Sequence: jobs of thousands of tasks
 // a second end. Cause: all tasks of a job were kept for as long as its state may be
 // asked for.
-func TestEndedJobsKeepOnlyWhatMayBeAsked(t *testing.T) {
-	g := prepared(t, &wire.Step{Count: 2})
-	g.Apply(noon, placeCommand("a1", runOf(0, 0, 1), runOf(0, 1, 1)))
-	g.Apply(noon, endCommand("a1", runOf(0, 0, 1), wire.RunOutcome_RUN_OUTCOME_DONE))
+func TestEndedJobsAreCompacted(t *testing.T) {
+	g := newTestGraph(t, &wire.Step{Count: 2})
+	g.Apply(noon, placeCommand("a1", runID(0, 0, 1), runID(0, 1, 1)))
+	g.Apply(noon, endCommand("a1", runID(0, 0, 1), wire.RunOutcome_RUN_OUTCOME_DONE))
 	before := g.Job(jobID).Record().Tasks
 	assert.Equal(t, len(before), 2)
 	t.Run("cancelled, one run left", func(t *testing.T) {
 		g.Apply(noon, &wire.WorkCommand{Body: &wire.WorkCommand_Cancel{Cancel: &wire.CancelWork{Job: jobID, Queue: "q"}}})
-		assert.Assert(t, g.FindTask(runOf(0, 1, 1)) != nil)
+		assert.Assert(t, g.FindTask(runID(0, 1, 1)) != nil)
 	})
 	t.Run("over", func(t *testing.T) {
-		g.Apply(noon, endCommand("a1", runOf(0, 1, 1), wire.RunOutcome_RUN_OUTCOME_STOPPED))
-		assert.Assert(t, g.FindTask(runOf(0, 1, 1)) == nil)
+		g.Apply(noon, endCommand("a1", runID(0, 1, 1), wire.RunOutcome_RUN_OUTCOME_STOPPED))
+		assert.Assert(t, g.FindTask(runID(0, 1, 1)) == nil)
 		assertState(t, g, wire.WorkState_WORK_STATE_CANCELLED, 0)
 		tasks := g.Job(jobID).Record().Tasks
 		assert.Equal(t, len(tasks), 2)
@@ -124,23 +124,23 @@
 // leader, which doesn't know what was acknowledged, has all ends listed anew.
 // Cause: an end that is applied without asking whether it is about the present
 // run.
-func TestRepeatedEndsChangeNothing(t *testing.T) {
-	g := prepared(t, &wire.Step{Count: 1})
-	g.Apply(noon, placeCommand("a1", runOf(0, 0, 1)))
-	failed := endCommand("a1", runOf(0, 0, 1), wire.RunOutcome_RUN_OUTCOME_FAILED)
+func TestRepeatedCompletionsAreIgnored(t *testing.T) {
+	g := newTestGraph(t, &wire.Step{Count: 1})
+	g.Apply(noon, placeCommand("a1", runID(0, 0, 1)))
+	failed := endCommand("a1", runID(0, 0, 1), wire.RunOutcome_RUN_OUTCOME_FAILED)
 	g.Apply(noon, failed)
 	g.Apply(noon, failed)
 	assertState(t, g, wire.WorkState_WORK_STATE_RUNNING, 1)
-	g.Apply(noon, placeCommand("a2", runOf(0, 0, 2)))
+	g.Apply(noon, placeCommand("a2", runID(0, 0, 2)))
 	g.Apply(noon, failed)
-	assert.Equal(t, g.FindTask(runOf(0, 0, 2)).Agent, "a2")
-	g.Apply(noon, endCommand("a1", runOf(0, 0, 2), wire.RunOutcome_RUN_OUTCOME_DONE))
+	assert.Equal(t, g.FindTask(runID(0, 0, 2)).Agent, "a2")
+	g.Apply(noon, endCommand("a1", runID(0, 0, 2), wire.RunOutcome_RUN_OUTCOME_DONE))
 	assertState(t, g, wire.WorkState_WORK_STATE_RUNNING, 0)
 }
 
 func TestPlacementsAreChecked(t *testing.T) {
-	g := prepared(t, &wire.Step{Count: 3})
-	g.Apply(noon, placeCommand("a1", runOf(0, 0, 1)))
+	g := newTestGraph(t, &wire.Step{Count: 3})
+	g.Apply(noon, placeCommand("a1", runID(0, 0, 1)))
 	g.Apply(noon, agentCommand("a2", true))
 	cases := []struct {
 		name  string
@@ -148,12 +148,12 @@
 		id    *wire.RunId
 		want  error
 	}{
-		{"already placed", "a1", runOf(0, 0, 2), ErrNotReady},
+		{"already placed", "a1", runID(0, 0, 2), ErrNotReady},
 		{"unknown job", "a1", &wire.RunId{Job: "other", Run: 1}, ErrUnknownJob},
-		{"no such task", "a1", runOf(0, 9, 1), ErrUnknownJob},
-		{"unknown agent", "a9", runOf(0, 1, 1), ErrUnknownAgent},
-		{"leaving agent", "a2", runOf(0, 1, 1), ErrAgentLeaving},
-		{"run number isn't higher", "a1", runOf(0, 1, 0), ErrSuperseded},
+		{"no such task", "a1", runID(0, 9, 1), ErrUnknownJob},
+		{"unknown agent", "a9", runID(0, 1, 1), ErrUnknownAgent},
+		{"leaving agent", "a2", runID(0, 1, 1), ErrAgentLeaving},
+		{"run number isn't higher", "a1", runID(0, 1, 0), ErrSuperseded},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -163,51 +163,51 @@
 }
 
 func TestAttemptsAreLimited(t *testing.T) {
-	g := prepared(t, &wire.Step{Count: 1})
+	g := newTestGraph(t, &wire.Step{Count: 1})
 	for run := uint32(1); run <= 2; run++ {
-		assert.NilError(t, g.Apply(noon, placeCommand("a1", runOf(0, 0, run))).PlacementErrors[0])
-		g.Apply(noon, endCommand("a1", runOf(0, 0, run), wire.RunOutcome_RUN_OUTCOME_FAILED))
+		assert.NilError(t, g.Apply(noon, placeCommand("a1", runID(0, 0, run))).PlacementErrors[0])
+		g.Apply(noon, endCommand("a1", runID(0, 0, run), wire.RunOutcome_RUN_OUTCOME_FAILED))
 	}
 	assertState(t, g, wire.WorkState_WORK_STATE_FAILED, 0)
 }
 
 // Only failures count as attempts, and standing tasks have no limit.
-func TestWhatIsNoAttempt(t *testing.T) {
+func TestOnlyFailuresCountAsAttempts(t *testing.T) {
 	lost := []wire.RunOutcome{
 		wire.RunOutcome_RUN_OUTCOME_STOPPED, wire.RunOutcome_RUN_OUTCOME_LAPSED, wire.RunOutcome_RUN_OUTCOME_BROKEN,
 		wire.RunOutcome_RUN_OUTCOME_ALONE, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, wire.RunOutcome_RUN_OUTCOME_LOST,
 	}
 	t.Run("other ends", func(t *testing.T) {
-		g := prepared(t, &wire.Step{Count: 1})
+		g := newTestGraph(t, &wire.Step{Count: 1})
 		for i, outcome := range lost {
-			g.Apply(noon, placeCommand("a1", runOf(0, 0, uint32(i+1))))
-			g.Apply(noon, endCommand("a1", runOf(0, 0, uint32(i+1)), outcome))
+			g.Apply(noon, placeCommand("a1", runID(0, 0, uint32(i+1))))
+			g.Apply(noon, endCommand("a1", runID(0, 0, uint32(i+1)), outcome))
 		}
 		assertState(t, g, wire.WorkState_WORK_STATE_RUNNING, 1)
 	})
 	t.Run("standing", func(t *testing.T) {
-		g := prepared(t, &wire.Step{Count: 1, Standing: true})
+		g := newTestGraph(t, &wire.Step{Count: 1, Standing: true})
 		for run := uint32(1); run <= 9; run++ {
-			g.Apply(noon, placeCommand("a1", runOf(0, 0, run)))
-			g.Apply(noon, endCommand("a1", runOf(0, 0, run), wire.RunOutcome_RUN_OUTCOME_FAILED))
+			g.Apply(noon, placeCommand("a1", runID(0, 0, run)))
+			g.Apply(noon, endCommand("a1", runID(0, 0, run), wire.RunOutcome_RUN_OUTCOME_FAILED))
 		}
 		assertState(t, g, wire.WorkState_WORK_STATE_RUNNING, 1)
 	})
 }
 
 func TestGangEndsTogether(t *testing.T) {
-	g := prepared(t, &wire.Step{Count: 3, Gang: true})
-	g.Apply(noon, placeCommand("a1", runOf(0, 0, 1), runOf(0, 1, 1), runOf(0, 2, 1)))
-	g.Apply(noon, endCommand("a1", runOf(0, 1, 1), wire.RunOutcome_RUN_OUTCOME_DONE))
+	g := newTestGraph(t, &wire.Step{Count: 3, Gang: true})
+	g.Apply(noon, placeCommand("a1", runID(0, 0, 1), runID(0, 1, 1), runID(0, 2, 1)))
+	g.Apply(noon, endCommand("a1", runID(0, 1, 1), wire.RunOutcome_RUN_OUTCOME_DONE))
 	assertState(t, g, wire.WorkState_WORK_STATE_COMPLETED, 0)
-	g.Apply(noon, endCommand("a1", runOf(0, 0, 1), wire.RunOutcome_RUN_OUTCOME_DONE))
-	assert.Equal(t, g.FindTask(runOf(0, 0, 1)).Agent, "")
+	g.Apply(noon, endCommand("a1", runID(0, 0, 1), wire.RunOutcome_RUN_OUTCOME_DONE))
+	assert.Equal(t, g.FindTask(runID(0, 0, 1)).Agent, "")
 }
 
 // A dropped agent never comes back: what it sends was sent before its end.
-func TestDroppedAgents(t *testing.T) {
-	g := prepared(t, &wire.Step{Count: 1})
-	g.Apply(noon, placeCommand("a1", runOf(0, 0, 1)))
+func TestRemovedAgentsStayRemoved(t *testing.T) {
+	g := newTestGraph(t, &wire.Step{Count: 1})
+	g.Apply(noon, placeCommand("a1", runID(0, 0, 1)))
 	drop := &wire.WorkCommand{Body: &wire.WorkCommand_DropAgent{DropAgent: &wire.DropAgent{Id: "a1"}}}
 	assert.NilError(t, g.Apply(noon, drop).Err)
 	assertState(t, g, wire.WorkState_WORK_STATE_RUNNING, 1)
@@ -217,11 +217,11 @@
 
 // Symptom: an agent that is leaving gets new work. Sequence: its report that it
 // leaves overtakes an older one that says it is ready.
-func TestLeavingIsForGood(t *testing.T) {
-	g := prepared(t, &wire.Step{Count: 1})
+func TestLeavingIsFinal(t *testing.T) {
+	g := newTestGraph(t, &wire.Step{Count: 1})
 	g.Apply(noon, agentCommand("a1", true))
 	g.Apply(noon, agentCommand("a1", false))
-	assert.ErrorIs(t, g.Apply(noon, placeCommand("a1", runOf(0, 0, 1))).PlacementErrors[0], ErrAgentLeaving)
+	assert.ErrorIs(t, g.Apply(noon, placeCommand("a1", runID(0, 0, 1))).PlacementErrors[0], ErrAgentLeaving)
 }
 
 func TestCatalogVersions(t *testing.T) {
@@ -256,7 +256,7 @@
 // Symptom: a caller cancels another account's job. Cause: the job was looked up
 // by its id alone, whatever queue the request was addressed to.
 func TestCancelNamesTheQueue(t *testing.T) {
-	g := prepared(t, &wire.Step{Count: 1})
+	g := newTestGraph(t, &wire.Step{Count: 1})
 	cancel := func(queue string) error {
 		return g.Apply(noon, &wire.WorkCommand{Body: &wire.WorkCommand_Cancel{Cancel: &wire.CancelWork{Job: jobID, Queue: queue}}}).Err
 	}
@@ -267,13 +267,13 @@
 }
 
 func TestSubmitIsIdempotent(t *testing.T) {
-	g := prepared(t, &wire.Step{Count: 1})
+	g := newTestGraph(t, &wire.Step{Count: 1})
 	assert.NilError(t, g.Apply(noon, submitCommand(jobID, &wire.Step{Count: 1})).Err)
 	assert.Equal(t, len(g.Jobs()), 1)
 	assert.ErrorIs(t, g.Apply(noon, submitCommand(jobID, &wire.Step{Count: 2})).Err, ErrContentMismatch)
 }
 
-func TestChecks(t *testing.T) {
+func TestValidation(t *testing.T) {
 	step := &wire.Step{Count: 1}
 	queue := func(name, pool string) *wire.Queue {
 		return &wire.Queue{Name: name, Host: "h", PathPrefix: "/" + name + "/", Pool: pool}
@@ -315,7 +315,7 @@
 // Symptom: after a restart a replica holds another state than the others.
 // Sequence: random commands, with a snapshot and a load between any two.
 // Cause, where it fails: something that Apply depends on isn't in the image.
-func TestImageHoldsTheWholeState(t *testing.T) {
+func TestSnapshotIsComplete(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		direct, reloaded := New(), New()
--- a/internal/store/graph/image.go
+++ b/internal/store/graph/image.go
@@ -14,7 +14,7 @@
 // Save returns the state for a snapshot. It shares records with the state and
 // must be serialized before the next Apply.
 func (g *Graph) Save() *wire.WorkImage {
-	image := &wire.WorkImage{Catalog: g.catalog, NextSequence: g.sequence, Learned: g.learned, Dropped: map[string]*timestamppb.Timestamp{}}
+	image := &wire.WorkImage{Catalog: g.catalog, NextSequence: g.sequence, Learned: g.estimates, Dropped: map[string]*timestamppb.Timestamp{}}
 	for _, j := range g.Jobs() {
 		image.Jobs = append(image.Jobs, saveJob(j))
 	}
@@ -22,11 +22,11 @@
 		image.Agents = append(image.Agents, r.Record)
 	}
 	sort.Slice(image.Agents, func(i, k int) bool { return image.Agents[i].Id < image.Agents[k].Id })
-	for id, at := range g.dropped {
+	for id, at := range g.removedAgents {
 		image.Dropped[id] = timestamppb.New(at)
 	}
 	g.drains.save(image)
-	image.SilentAgents = g.saveSilence()
+	image.SilentAgents = g.saveLeaseExpiries()
 	return image
 }
 
@@ -35,7 +35,7 @@
 func (j *Job) Record() *wire.WorkJob {
 	record := saveJob(j)
 	for _, sum := range record.EndedStages {
-		record.Tasks = append(record.Tasks, endedTasks(sum)...)
+		record.Tasks = append(record.Tasks, tasksFromSummary(sum)...)
 	}
 	record.EndedStages = nil
 	return record
@@ -51,8 +51,8 @@
 	}
 	for _, stages := range j.Occurrences {
 		for _, s := range stages {
-			if s.ended != nil {
-				saved.EndedStages = append(saved.EndedStages, s.ended)
+			if s.summary != nil {
+				saved.EndedStages = append(saved.EndedStages, s.summary)
 			}
 			for _, t := range s.Tasks {
 				if t.Run == 0 && !t.Done {
@@ -79,34 +79,34 @@
 		g.setCatalog(image.Catalog)
 	}
 	g.sequence = image.NextSequence
-	g.learned = image.Learned
+	g.estimates = image.Learned
 	g.drains.load(image)
 	for _, r := range image.Agents {
 		g.agents[r.Id] = &Agent{Record: r, Tasks: map[*Task]bool{}}
 	}
-	g.noteSilence(image.SilentAgents)
+	g.setLeaseExpiries(image.SilentAgents)
 	for id, at := range image.Dropped {
-		g.dropped[id] = at.AsTime()
+		g.removedAgents[id] = at.AsTime()
 	}
 	for _, saved := range image.Jobs {
 		g.loadJob(saved)
 	}
-	g.changed()
+	g.notifyChange()
 }
 
 func (g *Graph) loadJob(saved *wire.WorkJob) {
 	j := &Job{
 		ID: saved.Id, Queue: saved.Queue, Pool: saved.Pool, Spec: saved.Spec, State: saved.State,
 		AcceptedAt: saved.AcceptedAt.AsTime(), Sequence: saved.Sequence,
-		begun: saved.State != wire.WorkState_WORK_STATE_QUEUED,
+		started: saved.State != wire.WorkState_WORK_STATE_QUEUED,
 	}
 	if saved.EndedAt != nil {
 		j.EndedAt = saved.EndedAt.AsTime()
 	}
-	j.build()
+	j.buildStages()
 	g.jobs[j.ID] = j
 	for _, sum := range saved.EndedStages {
-		for _, task := range endedTasks(sum) {
+		for _, task := range tasksFromSummary(sum) {
 			g.loadTask(j, task)
 		}
 	}
@@ -115,16 +115,16 @@
 	}
 	for _, stages := range j.Occurrences {
 		for _, s := range stages {
-			if s.done == len(s.Tasks) {
-				j.open--
-				for _, next := range s.next {
-					next.waitsFor--
+			if s.doneTasks == len(s.Tasks) {
+				j.openStages--
+				for _, next := range s.dependents {
+					next.openDependencies--
 				}
 			}
 		}
 	}
 	g.addJob(j)
-	j.thin()
+	j.compact()
 }
 
 func (g *Graph) loadTask(j *Job, saved *wire.WorkTask) {
@@ -135,10 +135,10 @@
 	if saved.Agent != "" {
 		t.Agent = saved.Agent
 		g.agents[saved.Agent].Tasks[t] = true
-		j.placed++
+		j.activeRuns++
 	}
 	if t.Done {
-		s.done++
+		s.doneTasks++
 	}
 	if t.Done || t.Agent != "" {
 		s.Unplaced--
@@ -148,7 +148,7 @@
 // Overdue tells whether a job ended so long ago that it may be forgotten.
 func (g *Graph) HasRemovableJobs(endedBefore time.Time) bool {
 	for _, j := range g.jobs {
-		if j.Ended() && j.EndedAt.Before(endedBefore) && !j.mayRun() {
+		if j.Ended() && j.EndedAt.Before(endedBefore) && !j.mayHaveRuns() {
 			return true
 		}
 	}
--- a/internal/store/graph/job.go
+++ b/internal/store/graph/job.go
@@ -20,9 +20,9 @@
 		Sequence    uint64
 		// Occurrences hold the stages of each time the steps run.
 		Occurrences [][]*Stage
-		open        int // stages not ended
-		placed      int // tasks of which a run may exist
-		begun       bool
+		openStages  int // stages not ended
+		activeRuns  int // tasks of which a run may exist
+		started     bool
 	}
 
 	// Stage is one step of one occurrence of a job.
@@ -40,10 +40,10 @@
 		// the job along the longest chain.
 		CriticalPath time.Duration
 
-		waitsFor int // stages before it that haven't ended
-		next     []*Stage
-		done     int
-		ended    *wire.EndedStage
+		openDependencies int // stages before it that haven't ended
+		dependents       []*Stage
+		doneTasks        int
+		summary          *wire.EndedStage
 		// Unplaced counts the tasks that neither run nor have ended.
 		Unplaced int
 	}
@@ -99,7 +99,7 @@
 }
 
 // Begun tells whether a task of the job has been placed.
-func (j *Job) Started() bool { return j.begun }
+func (j *Job) Started() bool { return j.started }
 
 // Ran tells whether a task of the stage has been placed before.
 func (s *Stage) HasRun() bool {
@@ -123,10 +123,10 @@
 }
 
 // Left is the number of tasks that haven't ended.
-func (s *Stage) Remaining() int { return len(s.Tasks) - s.done }
+func (s *Stage) Remaining() int { return len(s.Tasks) - s.doneTasks }
 
 // Ready tells whether the stage has tasks to place, due yet or not.
-func (s *Stage) Ready() bool { return s.Unplaced > 0 && s.waitsFor == 0 && !s.Job.Ended() }
+func (s *Stage) Ready() bool { return s.Unplaced > 0 && s.openDependencies == 0 && !s.Job.Ended() }
 
 // Standing tells whether the stage's tasks run until the job is cancelled.
 func (s *Stage) Standing() bool { return s.Step.Standing }
@@ -170,7 +170,7 @@
 }
 
 // build makes the stages that a job's spec describes.
-func (j *Job) build() {
+func (j *Job) buildStages() {
 	times := max(j.Spec.Occurrences, 1)
 	for k := range times {
 		var due time.Time
@@ -186,24 +186,24 @@
 			}
 			stages[i] = s
 		}
-		link(stages)
+		linkStages(stages)
 		j.Occurrences = append(j.Occurrences, stages)
-		j.open += len(stages)
+		j.openStages += len(stages)
 	}
 }
 
 // link connects the stages of one occurrence. Steps name only earlier ones, so
 // that going backwards meets each stage after all that follow it.
-func link(stages []*Stage) {
+func linkStages(stages []*Stage) {
 	for _, s := range stages {
 		for _, before := range distinct(s.Step.After) {
-			stages[before].next = append(stages[before].next, s)
-			s.waitsFor++
+			stages[before].dependents = append(stages[before].dependents, s)
+			s.openDependencies++
 		}
 	}
 	for i := len(stages) - 1; i >= 0; i-- {
 		s := stages[i]
-		for _, n := range s.next {
+		for _, n := range s.dependents {
 			s.CriticalPath = max(s.CriticalPath, n.CriticalPath)
 		}
 		s.CriticalPath += time.Duration(s.Step.EstimateMs) * time.Millisecond
--- a/internal/store/graph/match.go
+++ b/internal/store/graph/match.go
@@ -13,7 +13,7 @@
 // there is none.
 func (g *Graph) MatchQueue(host, path string) (*wire.Queue, string) {
 	var best *wire.Queue
-	for _, q := range g.byHost[host] {
+	for _, q := range g.queuesByHost[host] {
 		if strings.HasPrefix(path, q.PathPrefix) && (best == nil || len(q.PathPrefix) > len(best.PathPrefix)) {
 			best = q
 		}
--- a/internal/store/graph/runs.go
+++ b/internal/store/graph/runs.go
@@ -23,7 +23,7 @@
 	MaxCrashes = 5
 )
 
-func (g *Graph) place(p *wire.PlaceRuns) Result {
+func (g *Graph) placeRuns(p *wire.PlaceRuns) Result {
 	res := Result{PlacementErrors: make([]error, len(p.Placements))}
 	for i, placement := range p.Placements {
 		res.PlacementErrors[i] = g.placeRun(placement)
@@ -44,63 +44,63 @@
 		return ErrAgentLeaving
 	case g.Drained(r.Record.FailureDomain):
 		return ErrDrained
-	case !t.Placeable() || t.Stage.Job.Ended() || t.Stage.waitsFor > 0:
+	case !t.Placeable() || t.Stage.Job.Ended() || t.Stage.openDependencies > 0:
 		return ErrNotReady
 	case p.Id.Run <= t.Run:
 		return ErrSuperseded
 	}
 	t.Run, t.Agent = p.Id.Run, p.Agent
 	r.Tasks[t] = true
-	t.Stage.Job.placed++
-	g.touch(t.Agent)
+	t.Stage.Job.activeRuns++
+	g.notifyAgentChange(t.Agent)
 	t.Stage.Unplaced--
-	g.noteReady(t.Stage)
-	g.begin(t.Stage.Job)
+	g.updateReady(t.Stage)
+	g.markStarted(t.Stage.Job)
 	return nil
 }
 
 // release notes that the task's latest run surely exists nowhere any more.
-func (g *Graph) release(t *Task) {
+func (g *Graph) releaseRun(t *Task) {
 	if r := g.agents[t.Agent]; r != nil {
 		delete(r.Tasks, t)
 	}
-	g.touch(t.Agent)
+	g.notifyAgentChange(t.Agent)
 	if t.Agent != "" {
-		t.Stage.Job.placed--
+		t.Stage.Job.activeRuns--
 	}
 	t.Agent = ""
 	if !t.Done {
 		t.Stage.Unplaced++
 	}
-	g.noteReady(t.Stage)
-	t.Stage.Job.thin()
+	g.updateReady(t.Stage)
+	t.Stage.Job.compact()
 }
 
 // end notes how a run ended. An end of another run than the present one is a
 // repeated report and changes nothing.
-func (g *Graph) end(at time.Time, e *wire.RunEnd) {
+func (g *Graph) endRun(at time.Time, e *wire.RunEnd) {
 	t := g.FindTask(e.Id)
 	if t == nil || t.Run != e.Id.Run || t.Agent != e.Agent || t.Agent == "" {
 		return
 	}
-	defer g.changed()
+	defer g.notifyChange()
 	if e.Checkpoint != "" {
 		g.saveCheckpoint(t, e.Checkpoint)
 	}
 	switch {
 	case e.Outcome == wire.RunOutcome_RUN_OUTCOME_DONE && !t.Stage.Standing():
-		g.endDone(at, t)
+		g.completeTask(at, t)
 	case e.Outcome == wire.RunOutcome_RUN_OUTCOME_FAILED && !t.Stage.Standing():
-		g.endFailed(at, t)
+		g.recordFailure(at, t)
 	case e.Outcome == wire.RunOutcome_RUN_OUTCOME_CRASHED:
-		g.endCrashed(at, t, false)
+		g.recordCrash(at, t, false)
 	case e.Outcome == wire.RunOutcome_RUN_OUTCOME_CRASHED_AT_START:
-		g.endCrashed(at, t, true)
+		g.recordCrash(at, t, true)
 	default:
 		if e.Outcome == wire.RunOutcome_RUN_OUTCOME_FAILED {
 			t.LastFailedOn = t.Agent
 		}
-		g.release(t)
+		g.releaseRun(t)
 	}
 }
 
@@ -116,10 +116,10 @@
 	}
 }
 
-// endDone completes a task, or a whole gang: its members end together, so the
+// completeTask completes a task, or a whole gang: its members end together, so the
 // end of one stands for all. The others' runs still hold their room until
 // their own ends are known.
-func (g *Graph) endDone(at time.Time, t *Task) {
+func (g *Graph) completeTask(at time.Time, t *Task) {
 	finished := []*Task{t}
 	if t.Stage.Step.Gang {
 		finished = t.Stage.Tasks
@@ -132,32 +132,32 @@
 			f.Stage.Unplaced--
 		}
 		f.Done = true
-		f.Stage.done++
-		g.touch(f.Agent)
+		f.Stage.doneTasks++
+		g.notifyAgentChange(f.Agent)
 	}
-	g.release(t)
-	if t.Stage.done == len(t.Stage.Tasks) {
-		g.endStage(at, t.Stage)
+	g.releaseRun(t)
+	if t.Stage.doneTasks == len(t.Stage.Tasks) {
+		g.completeStage(at, t.Stage)
 	}
 }
 
-func (g *Graph) endStage(at time.Time, s *Stage) {
-	g.noteReady(s)
+func (g *Graph) completeStage(at time.Time, s *Stage) {
+	g.updateReady(s)
 	j := s.Job
-	j.open--
-	for _, next := range s.next {
-		next.waitsFor--
-		g.noteReady(next)
+	j.openStages--
+	for _, next := range s.dependents {
+		next.openDependencies--
+		g.updateReady(next)
 	}
-	if j.open == 0 {
-		g.finish(at, j, wire.WorkState_WORK_STATE_COMPLETED)
+	if j.openStages == 0 {
+		g.finishJob(at, j, wire.WorkState_WORK_STATE_COMPLETED)
 	}
 }
 
-// endFailed counts an attempt, of the task or of its whole gang.
-func (g *Graph) endFailed(at time.Time, t *Task) {
+// recordFailure counts an attempt, of the task or of its whole gang.
+func (g *Graph) recordFailure(at time.Time, t *Task) {
 	t.LastFailedOn = t.Agent
-	g.release(t)
+	g.releaseRun(t)
 	failures := uint32(0)
 	if t.Stage.Step.Gang {
 		t.Stage.Tasks[0].Failures++
@@ -167,14 +167,14 @@
 		failures = t.Failures
 	}
 	if failures >= g.maxAttempts(t.Stage.Job) {
-		g.finish(at, t.Stage.Job, wire.WorkState_WORK_STATE_FAILED)
+		g.finishJob(at, t.Stage.Job, wire.WorkState_WORK_STATE_FAILED)
 	}
 }
 
-// endCrashed counts a crash under a task, standing or not. An agent that goes down
+// recordCrash counts a crash under a task, standing or not. An agent that goes down
 // reports no end, so without this a task that takes its agents down is started forever.
-func (g *Graph) endCrashed(at time.Time, t *Task, atStart bool) {
-	g.release(t)
+func (g *Graph) recordCrash(at time.Time, t *Task, atStart bool) {
+	g.releaseRun(t)
 	if t.Done {
 		return
 	}
@@ -183,7 +183,7 @@
 		t.StartCrashes++
 	}
 	if t.Crashes >= MaxCrashes || t.StartCrashes >= MaxStartCrashes {
-		g.finish(at, t.Stage.Job, wire.WorkState_WORK_STATE_FAILED)
+		g.finishJob(at, t.Stage.Job, wire.WorkState_WORK_STATE_FAILED)
 	}
 }
 
--- a/internal/store/graph/silence.go
+++ b/internal/store/graph/silence.go
@@ -28,7 +28,7 @@
 	return s != nil && now >= s.RecordedAt+s.ExpiresIn
 }
 
-func (g *Graph) noteSilence(list []*wire.SilentAgent) {
+func (g *Graph) setLeaseExpiries(list []*wire.SilentAgent) {
 	for _, told := range list {
 		at := g.agents[told.Id]
 		switch {
@@ -41,7 +41,7 @@
 	}
 }
 
-func (g *Graph) saveSilence() []*wire.SilentAgent {
+func (g *Graph) saveLeaseExpiries() []*wire.SilentAgent {
 	var list []*wire.SilentAgent
 	for id, at := range g.agents {
 		if at.LeaseExpiry != nil {
--- a/internal/store/graph/silence_test.go
+++ b/internal/store/graph/silence_test.go
@@ -12,7 +12,7 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-func silentCommand(id string, lapsesIn *durationpb.Duration) *wire.WorkCommand {
+func leaseExpiryCommand(id string, lapsesIn *durationpb.Duration) *wire.WorkCommand {
 	return &wire.WorkCommand{Body: &wire.WorkCommand_SilentAgents{SilentAgents: &wire.SilentAgents{
 		Agents: []*wire.SilentAgent{{Id: id, LapsesIn: lapsesIn}},
 	}}}
@@ -20,12 +20,12 @@
 
 // Guards against a lease that a replica takes for run out sooner than the leader that
 // granted it: each counts from when it heard of the record, whatever its clock shows.
-func TestSilenceCountsFromWhenItWasHeardOf(t *testing.T) {
+func TestLeaseExpiryCountsFromLocalApply(t *testing.T) {
 	now := 100 * time.Second
 	boot := func() time.Duration { return now }
-	g := prepared(t, &wire.Step{Count: 1})
+	g := newTestGraph(t, &wire.Step{Count: 1})
 	g.BootClock = boot
-	g.Apply(noon, silentCommand("a1", durationpb.New(5*time.Second)))
+	g.Apply(noon, leaseExpiryCommand("a1", durationpb.New(5*time.Second)))
 	assert.Assert(t, !g.Agent("a1").LeaseExpiry.Expired(now+4999*time.Millisecond))
 	assert.Assert(t, g.Agent("a1").LeaseExpiry.Expired(now+5*time.Second))
 	assert.Assert(t, !g.Agent("a2").LeaseExpiry.Expired(now+time.Hour))
@@ -39,13 +39,13 @@
 		assert.Assert(t, loaded.Agent("a1").LeaseExpiry.Expired(now+5*time.Second))
 	})
 	t.Run("answers again", func(t *testing.T) {
-		g.Apply(noon, silentCommand("a1", nil))
+		g.Apply(noon, leaseExpiryCommand("a1", nil))
 		assert.Assert(t, g.Agent("a1").LeaseExpiry == nil)
 		assert.Equal(t, len(g.Save().SilentAgents), 0)
 	})
 	t.Run("dropped meanwhile", func(t *testing.T) {
 		g.Apply(noon, &wire.WorkCommand{Body: &wire.WorkCommand_DropAgent{DropAgent: &wire.DropAgent{Id: "a1"}}})
-		g.Apply(noon, silentCommand("a1", durationpb.New(time.Second)))
+		g.Apply(noon, leaseExpiryCommand("a1", durationpb.New(time.Second)))
 		assert.Assert(t, g.Agent("a1") == nil)
 	})
 }
