--- a/internal/sched/plan/bench_test.go
+++ b/internal/sched/plan/bench_test.go
@@ -1,4 +1,4 @@
-// This file defines the benchmarks at the size to design for.
+// This file defines the benchmarks of the planner at the design size.
 
 package plan_test
 
@@ -25,7 +25,7 @@
 	benchAccounts = 44
 )
 
-// bench is a leader's state and planner at a given size.
+// bench is a leader's state and planner with a given number of workers and tasks.
 type bench struct {
 	machine *state.Machine
 	planner *plan.Planner
@@ -103,8 +103,8 @@
 	}}}})
 }
 
-// BenchmarkPlacement is the time of one decision, from a submitted job to its
-// placement applied, alone in its pass (batch=1) and with others.
+// BenchmarkPlacement measures the time from a submitted job to its committed placement,
+// with one job per pass (batch=1) and with several.
 func BenchmarkPlacement(b *testing.B) {
 	for _, size := range []struct{ workers, tasks, batch int }{
 		{690, 10_600, 1}, {benchWorkers, benchTasks, 1}, {benchWorkers, benchTasks, 40},
@@ -124,7 +124,7 @@
 	}
 }
 
-// BenchmarkReport is the time to hear and answer one worker's report.
+// BenchmarkReport measures the time to handle and answer one worker's report.
 func BenchmarkReport(b *testing.B) {
 	s := newBench(benchWorkers, benchTasks)
 	sequence := uint64(3)
@@ -135,7 +135,7 @@
 	}
 }
 
-// BenchmarkMessageBytes gives the sizes that docs/CAPACITY.md reckons with.
+// BenchmarkMessageBytes measures the message sizes used in docs/CAPACITY.md.
 func BenchmarkMessageBytes(b *testing.B) {
 	s := newBench(16, 0)
 	report := func(tasks int) int {
@@ -158,7 +158,7 @@
 	b.ReportMetric(float64(proto.Size(s.machine.Configuration())), "B-configuration")
 }
 
-// BenchmarkHeap is the live heap of the whole state, and a snapshot of it.
+// BenchmarkHeap measures the live heap of the state and planner, and the size of a snapshot.
 func BenchmarkHeap(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/internal/sched/plan/crash_test.go
+++ b/internal/sched/plan/crash_test.go
@@ -1,4 +1,4 @@
-// This file defines the test of jobs that end the workers on which they start.
+// This file defines the tests of jobs that crash the workers on which they start.
 
 package plan_test
 
@@ -12,40 +12,36 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// Workers go down one after the other, each as it starts one and the same job, for as
-// long as there are any. A worker that goes down reports no failure; its jobs are queued
-// again as those of a lost worker, which no limit counts, and come to the next one
-// together.
+// Guards against a job that crashes one worker after another. A crashed worker reports no
+// failure, and its jobs are queued again together, so only counted crashes end such a job.
 func TestCrashingJobsFail(t *testing.T) {
-	// Five crashes are counted. One isn't where the worker's lease has run out before a
-	// report of its next incarnation arrives, since it may only be cut off: messages are
-	// lost and late here.
-	const most = 5 + 3
+	// A job fails after five counted crashes. A crash isn't counted if the worker's lease
+	// expires before a report of its next incarnation arrives, since the worker may only
+	// be unreachable; here messages are lost and late.
+	const maxCrashes = 5 + 3
 	for seed := range uint64(30) {
 		s, jobs := simulateCrashes(t, seed)
 		for id := range s.crashingJobs {
-			assert.Equal(t, s.machine.Job(id).State, wire.JobState_JOB_STATE_FAILED, "seed %d: %s ended %d workers", seed, id, s.crashes[id])
-			assert.Assert(t, s.crashes[id] <= most, "seed %d: %s ended %d workers", seed, id, s.crashes[id])
+			assert.Equal(t, s.machine.Job(id).State, wire.JobState_JOB_STATE_FAILED, "seed %d: %s crashed %d workers", seed, id, s.crashes[id])
+			assert.Assert(t, s.crashes[id] <= maxCrashes, "seed %d: %s crashed %d workers", seed, id, s.crashes[id])
 		}
 		for i := range jobs {
 			j := s.machine.Job(fmt.Sprint("j", i))
-			assert.Equal(t, j.State, wire.JobState_JOB_STATE_FINISHED, "seed %d: job %d, beside those that crash workers", seed, i)
+			assert.Equal(t, j.State, wire.JobState_JOB_STATE_FINISHED, "seed %d: job %d, which crashes no worker", seed, i)
 		}
 	}
 }
 
-// A job ran on two workers. One was frozen for two seconds with its lease; it was given
-// up and the job begun elsewhere. When it woke it registered again under its incarnation
-// and got a new lease. Then an answer arrived that was older than all that, with the order
-// to start the job, and a worker with a lease obeys. An order to start has to be void as
-// soon as the lease is that came with it.
+// Guards against a job that runs on two workers: a worker frozen past its lease is
+// declared lost, registers again and gets a new lease, and then receives an older answer
+// with an order to start the job. A start order must expire with the lease it came with.
 func TestStartOrderExpiresWithLease(t *testing.T) {
 	simulateCrashes(t, 146)
 }
 
-// simulateCrashes has jobs come for 40 seconds, some of which crash workers, lets three
-// minutes go by, and returns how many of the others there were.
-func simulateCrashes(t *testing.T, seed uint64) (played *sim, jobs int) {
+// simulateCrashes submits jobs for 40 seconds, some of which crash workers, runs the
+// simulation for three more minutes, and returns the number of jobs that crash no worker.
+func simulateCrashes(t *testing.T, seed uint64) (simulated *sim, jobs int) {
 	t.Helper()
 	s := newSim(seed, 6)
 	for range 40 {
--- a/internal/sched/plan/health.go
+++ b/internal/sched/plan/health.go
@@ -1,5 +1,4 @@
-// This file defines how workers that fail everything are told from jobs that
-// fail everywhere.
+// This file defines how faulty workers are distinguished from jobs that fail on any worker.
 
 package plan
 
@@ -11,29 +10,29 @@
 )
 
 const (
-	// quarantineFailures is how many different jobs a worker must fail in a
-	// row, with no success between, to be put aside.
+	// quarantineFailures is the number of different jobs that a worker must fail in a row
+	// to be quarantined.
 	quarantineFailures = 3
 )
 
 type (
-	// kindStats counts how a job kind's attempts ended, over all workers.
+	// kindStats counts the ended attempts of a job kind over all workers.
 	kindStats struct {
 		finished, failed float64
 	}
 
-	// streak is a worker's failures since its last success.
+	// failureStreak holds the jobs that failed on a worker since its last success.
 	failureStreak struct {
 		jobs map[string]bool
-		// expected is how many of them their job kinds would have failed on
-		// any worker.
+		// expectedFailures is the number of them expected to fail on any worker.
 		expectedFailures float64
 	}
 
+	// health tracks the failures of workers and job kinds.
 	health struct {
 		kinds   map[string]*kindStats
 		streaks map[string]*failureStreak
-		// failedOn holds the workers that a queued job failed on.
+		// failedOn holds the workers on which a job's earlier attempts failed, by job.
 		failedOn map[string]map[string]bool
 	}
 )
@@ -42,8 +41,8 @@
 	return &health{kinds: map[string]*kindStats{}, streaks: map[string]*failureStreak{}, failedOn: map[string]map[string]bool{}}
 }
 
-// failureRate is the part of a kind's attempts that fail, leaning to 10% while
-// little is known.
+// failureRate returns the estimated share of a kind's attempts that fail. The estimate
+// starts at 10%.
 func (h *health) failureRate(kind string) float64 {
 	k := h.kinds[kind]
 	if k == nil {
@@ -58,8 +57,8 @@
 	delete(h.failedOn, job)
 }
 
-// failed notes a failure and tells whether the worker's streak is beyond what
-// its job kinds explain.
+// recordFailed records a failed attempt and reports whether the worker has failed more
+// jobs in a row than their kinds' failure rates explain.
 func (h *health) recordFailed(worker, kind, job string) bool {
 	s := h.streaks[worker]
 	if s == nil {
--- a/internal/sched/plan/place.go
+++ b/internal/sched/plan/place.go
@@ -1,4 +1,4 @@
-// This file defines the placement pass: which job is next, and where it goes.
+// This file defines the scheduling pass: the order of jobs and the choice of workers.
 
 package plan
 
@@ -13,48 +13,47 @@
 const (
 	// maxBatch bounds the placements of one command.
 	maxBatch = 512
-	// maxSkipped is how many jobs of an account that fit nowhere are passed
-	// over in one pass before the account waits.
+	// maxSkipped is the number of an account's jobs that may fail to be placed in a pass
+	// before the account is left out of it.
 	maxSkipped = 16
-	// maxCandidates is how many workers with room are compared for one job.
-	// The best of so many is taken to differ little from the best of all,
-	// which isn't measured; the time of a choice no longer grows with the
-	// workers.
+	// maxCandidates bounds the workers scored for one job, so that the time for a choice
+	// doesn't grow with the number of workers.
 	maxCandidates = 256
-	// candidateStride is the distance between workers compared, a prime larger
-	// than a rack or a failure domain's row, so that they are mixed.
+	// candidateStride is the distance between the workers scored for one job: a prime
+	// larger than a rack or a row of a failure domain, so that candidates are spread.
 	candidateStride = 1009
-	// A job that failed waits firstBackoff before its next attempt, doubled
-	// for each further failure up to maxBackoff.
+	// A failed job waits firstBackoff before its next attempt. The back-off doubles with
+	// each further failure, up to maxBackoff.
 	firstBackoff = 100 * time.Millisecond
 	maxBackoff   = 30 * time.Second
 	maxDoublings = 9
 )
 
 type (
-	// Candidate is a worker that has room for a job.
+	// Candidate is a worker with sufficient free resources for a job.
 	Candidate struct {
 		Job    *wire.Job
 		Worker *state.Worker
-		// Free is what is left before the job is placed.
+		// Free is the worker's free resources before the job is placed.
 		Free, Capacity, Need state.Resources
-		// FailedOnWorker tells that an earlier attempt failed on this worker.
+		// FailedOnWorker reports whether an earlier attempt failed on this worker.
 		FailedOnWorker bool
 		// Siblings is the number of the same account's standing tasks in the
 		// worker's failure domain, for standing jobs.
 		Siblings int
 	}
 
+	// accountQueue holds an account's queued jobs in one pass.
 	accountQueue struct {
 		name    string
-		share   float64
+		share   float64 // weighted dominant share
 		skipped int
 		jobs    []*wire.Job
 	}
 )
 
-// Spread prefers the worker with most left in its scarcest resource, keeps
-// standing tasks of an account apart, and avoids where the job failed.
+// Spread scores a worker by what remains of its scarcest resource, prefers failure domains
+// with fewer standing tasks of the account, and avoids workers on which the job failed.
 func Spread(c Candidate) float64 {
 	left := c.Free.Sub(c.Need)
 	score := 1 - c.Capacity.Sub(left).DominantShare(c.Capacity)
@@ -64,28 +63,28 @@
 	return score - float64(c.Siblings)
 }
 
-// placePass places what has room, the account with the smallest weighted
-// dominant share first (Ghodsi et al., NSDI 2011), urgent jobs before all.
+// placePass places queued jobs: urgent jobs first, then by the smallest weighted dominant
+// share of their account (Dominant Resource Fairness, Ghodsi et al., NSDI 2011).
 func (p *Planner) placePass(now time.Time) {
-	whole := p.eligible(now)
-	if len(whole.workers) == 0 {
+	eligible := p.eligible(now)
+	if len(eligible.workers) == 0 {
 		return
 	}
-	claimants := p.accountQueues(now, whole.total)
+	queues := p.accountQueues(now, eligible.total)
 	var batch []*wire.Placement
-	for len(claimants) > 0 && len(batch) < maxBatch {
-		i := nextAccount(claimants)
-		c := claimants[i]
-		j := c.jobs[0]
-		c.jobs = c.jobs[1:]
-		if placement := p.placeJob(whole, j); placement != nil {
+	for len(queues) > 0 && len(batch) < maxBatch {
+		i := nextAccount(queues)
+		queue := queues[i]
+		j := queue.jobs[0]
+		queue.jobs = queue.jobs[1:]
+		if placement := p.placeJob(eligible, j); placement != nil {
 			batch = append(batch, placement)
-			c.share = p.weightedShare(c.name, whole.total)
+			queue.share = p.weightedShare(queue.name, eligible.total)
 		} else {
-			c.skipped++
+			queue.skipped++
 		}
-		if len(c.jobs) == 0 || c.skipped >= maxSkipped {
-			claimants = append(claimants[:i], claimants[i+1:]...)
+		if len(queue.jobs) == 0 || queue.skipped >= maxSkipped {
+			queues = append(queues[:i], queues[i+1:]...)
 		}
 	}
 	if len(batch) > 0 {
@@ -94,68 +93,69 @@
 }
 
 type (
-	// seat is a worker in one pass. Its sums are kept here, flat, since the
-	// choice looks at every seat for every placement.
+	// workerView is a worker in one pass, with its sums cached, since many workers are
+	// examined for each job.
 	workerView struct {
 		worker         *state.Worker
 		free, capacity state.Resources
-		// suspect tells that a job is there, or on its way, under which a worker crashed.
+		// crashSuspect reports whether a job that may crash workers is placed there or
+		// about to be.
 		crashSuspect bool
 	}
 
-	// eligibleWorkers are those that hold a lease and may take work.
+	// eligibleWorkers are the workers that hold a lease and accept new jobs.
 	eligibleWorkers struct {
 		workers []workerView
-		total   state.Resources
+		total   state.Resources // capacity of all registered workers
 	}
 )
 
 func (p *Planner) eligible(now time.Time) eligibleWorkers {
-	u := eligibleWorkers{workers: make([]workerView, 0, len(p.options.Machine.Workers()))}
+	eligible := eligibleWorkers{workers: make([]workerView, 0, len(p.options.Machine.Workers()))}
 	for _, w := range p.options.Machine.SortedWorkers() {
 		id := w.Record.WorkerId
 		capacity := state.ResourcesOf(w.Record.Capacity)
-		u.total = u.total.Add(capacity)
+		eligible.total = eligible.total.Add(capacity)
 		if w.Quarantine != "" || p.options.Machine.Drained(w) || p.losing[id] || !p.leases.Active(id, w.Record.Incarnation, now) {
 			continue
 		}
-		u.workers = append(u.workers, workerView{worker: w, free: p.freeResources(w), capacity: capacity, crashSuspect: hasCrashSuspect(w)})
+		eligible.workers = append(eligible.workers, workerView{worker: w, free: p.freeResources(w), capacity: capacity, crashSuspect: hasCrashSuspect(w)})
 	}
-	p.markCrashSuspects(u)
-	return u
+	p.markCrashSuspects(eligible)
+	return eligible
 }
 
 func (p *Planner) accountQueues(now time.Time, total state.Resources) []*accountQueue {
-	var claimants []*accountQueue
+	var queues []*accountQueue
 	for _, name := range p.options.Machine.AccountsWithQueuedJobs() {
-		c := &accountQueue{name: name, share: p.weightedShare(name, total)}
+		queue := &accountQueue{name: name, share: p.weightedShare(name, total)}
 		p.options.Machine.Queued(name, func(j *wire.Job) bool {
-			if _, busy := p.pending[j.JobId]; !busy && !inBackoff(j, now) {
-				c.jobs = append(c.jobs, j)
+			if _, pending := p.pending[j.JobId]; !pending && !inBackoff(j, now) {
+				queue.jobs = append(queue.jobs, j)
 			}
-			return len(c.jobs) < maxBatch
+			return len(queue.jobs) < maxBatch
 		})
-		if len(c.jobs) > 0 {
-			claimants = append(claimants, c)
+		if len(queue.jobs) > 0 {
+			queues = append(queues, queue)
 		}
 	}
-	return claimants
+	return queues
 }
 
-// neediest picks the account to serve next: one with an urgent job if there
-// is any, then the smallest share.
-func nextAccount(claimants []*accountQueue) int {
+// nextAccount returns the index of the account to serve next: one with an urgent job
+// if there is any, and of those the one with the smallest share.
+func nextAccount(queues []*accountQueue) int {
 	best := 0
-	for i, c := range claimants {
-		b := claimants[best]
-		urgent, bestUrgent := c.jobs[0].Spec.Urgent, b.jobs[0].Spec.Urgent
+	for i, queue := range queues {
+		current := queues[best]
+		urgent, bestUrgent := queue.jobs[0].Spec.Urgent, current.jobs[0].Spec.Urgent
 		if urgent != bestUrgent {
 			if urgent {
 				best = i
 			}
 			continue
 		}
-		if c.share < b.share {
+		if queue.share < current.share {
 			best = i
 		}
 	}
@@ -170,7 +170,7 @@
 	return p.options.Machine.Used(account).Add(p.assumedByAccount[account]).DominantShare(total) / weight
 }
 
-// waits tells whether a job's back-off still runs.
+// inBackoff reports whether a failed job still waits for its next attempt.
 func inBackoff(j *wire.Job, now time.Time) bool {
 	if j.Failures == 0 || j.EndedAt == nil {
 		return false
@@ -179,17 +179,17 @@
 	return now.Before(j.EndedAt.AsTime().Add(delay))
 }
 
-func (p *Planner) placeJob(u eligibleWorkers, j *wire.Job) *wire.Placement {
+func (p *Planner) placeJob(eligible eligibleWorkers, j *wire.Job) *wire.Placement {
 	need := state.ResourcesOf(j.Spec.Resources)
 	account := j.Spec.ClientAccount
 	quota := state.ResourcesOf(p.options.Machine.Account(account).GetQuota())
 	if !p.options.Machine.Used(account).Add(p.assumedByAccount[account]).Add(need).FitsQuota(quota) {
 		return nil
 	}
-	chosen := p.selectWorker(u, j, need)
+	chosen := p.selectWorker(eligible, j, need)
 	if chosen == nil {
 		if j.Spec.Urgent {
-			p.preempt(u, need)
+			p.preempt(eligible, need)
 		}
 		return nil
 	}
@@ -205,32 +205,32 @@
 	}
 }
 
-// choose returns the best of some workers that have room; nil only when none
-// at all has.
-func (p *Planner) selectWorker(u eligibleWorkers, j *wire.Job, need state.Resources) *workerView {
+// selectWorker returns the best of up to maxCandidates workers with sufficient free
+// resources, or nil if no worker has them.
+func (p *Planner) selectWorker(eligible eligibleWorkers, j *wire.Job, need state.Resources) *workerView {
 	var best *workerView
 	var bestScore float64
-	siblings := p.siblings(u, j)
+	siblings := p.siblings(eligible, j)
 	failedOn := p.health.failedOn[j.JobId]
-	n := len(u.workers)
+	n := len(eligible.workers)
 	stride := candidateStride
 	if n%candidateStride == 0 {
-		stride = 1 // or it would come back to the same few
+		stride = 1 // a divisor of n would visit the same few workers repeatedly
 	}
 	p.cursor += stride
 	for i, seen := 0, 0; i < n && seen < maxCandidates; i++ {
-		s := &u.workers[(p.cursor+i*stride)%n]
-		if !need.FitsIn(s.free) || s.crashSuspect && isCrashSuspect(j) {
+		view := &eligible.workers[(p.cursor+i*stride)%n]
+		if !need.FitsIn(view.free) || view.crashSuspect && isCrashSuspect(j) {
 			continue
 		}
 		seen++
 		score := p.options.Score(Candidate{
-			Job: j, Worker: s.worker, Free: s.free, Need: need, Capacity: s.capacity,
-			FailedOnWorker: len(failedOn) > 0 && failedOn[s.worker.Record.WorkerId],
-			Siblings:       siblings[s.worker.Record.FailureDomain],
+			Job: j, Worker: view.worker, Free: view.free, Need: need, Capacity: view.capacity,
+			FailedOnWorker: len(failedOn) > 0 && failedOn[view.worker.Record.WorkerId],
+			Siblings:       siblings[view.worker.Record.FailureDomain],
 		})
 		if best == nil || score > bestScore {
-			best, bestScore = s, score
+			best, bestScore = view, score
 		}
 	}
 	return best
@@ -241,9 +241,9 @@
 	return capacity.Sub(w.Committed).Sub(p.assumedByWorker[w.Record.WorkerId])
 }
 
-// suspect tells whether a job may be one that ends its workers. Of the jobs that go with
-// a worker at most one is the cause, and all are counted: if they came to the next
-// worker together, those which do no harm would be counted with it each time.
+// isCrashSuspect reports whether a job was running on a worker that crashed. A crash
+// counts for all jobs on the worker, of which at most one is the cause. Suspects are placed
+// on different workers, or the harmless ones would be counted with the cause each time.
 func isCrashSuspect(j *wire.Job) bool { return j.WorkerCrashes > 0 }
 
 func hasCrashSuspect(w *state.Worker) bool {
@@ -255,49 +255,49 @@
 	return false
 }
 
-// markCrashSuspects marks the workers to which suspects are on their way.
-func (p *Planner) markCrashSuspects(u eligibleWorkers) {
-	on := map[string]bool{}
+// markCrashSuspects marks the workers with pending placements of crash suspects.
+func (p *Planner) markCrashSuspects(eligible eligibleWorkers) {
+	marked := map[string]bool{}
 	for id, pending := range p.pending {
 		if j := p.options.Machine.Job(id); j != nil && isCrashSuspect(j) {
-			on[pending.worker] = true
+			marked[pending.worker] = true
 		}
 	}
-	for i := range u.workers {
-		s := &u.workers[i]
-		s.crashSuspect = s.crashSuspect || on[s.worker.Record.WorkerId]
+	for i := range eligible.workers {
+		view := &eligible.workers[i]
+		view.crashSuspect = view.crashSuspect || marked[view.worker.Record.WorkerId]
 	}
 }
 
-// siblings counts an account's standing tasks by failure domain, so that the
-// loss of one domain doesn't stop them all.
-func (p *Planner) siblings(u eligibleWorkers, j *wire.Job) map[string]int {
+// siblings returns the number of the account's standing tasks by failure domain, so that
+// they can be spread, and the loss of one domain doesn't stop them all.
+func (p *Planner) siblings(eligible eligibleWorkers, j *wire.Job) map[string]int {
 	if j.Class != wire.JobClass_JOB_CLASS_STANDING {
 		return nil
 	}
 	counts := map[string]int{}
-	for _, s := range u.workers {
-		for _, t := range s.worker.Tasks {
+	for _, view := range eligible.workers {
+		for _, t := range view.worker.Tasks {
 			if t.Class == j.Class && t.Spec.ClientAccount == j.Spec.ClientAccount {
-				counts[s.worker.Record.FailureDomain]++
+				counts[view.worker.Record.FailureDomain]++
 			}
 		}
 	}
 	return counts
 }
 
-// preempt orders the eviction of the youngest tasks that aren't urgent, from
-// the worker where the fewest have to go. They stop at a checkpoint and resume
-// elsewhere; the urgent job is placed once they have.
-func (p *Planner) preempt(u eligibleWorkers, need state.Resources) {
+// preempt evicts the most recently started non-urgent tasks from the worker on which the
+// fewest have to be evicted. They stop at a checkpoint and resume elsewhere; the urgent job
+// is placed in a later pass.
+func (p *Planner) preempt(eligible eligibleWorkers, need state.Resources) {
 	var victims []*wire.Job
-	for _, s := range u.workers {
-		chosen, ok := p.selectVictims(s.worker, need)
+	for _, view := range eligible.workers {
+		chosen, ok := p.selectVictims(view.worker, need)
 		if !ok {
 			continue
 		}
 		if len(chosen) == 0 {
-			return // enough is on its way out already
+			return // evictions in progress free enough
 		}
 		if victims == nil || len(chosen) < len(victims) {
 			victims = chosen
@@ -310,6 +310,8 @@
 	}
 }
 
+// selectVictims returns the tasks to evict from a worker so that need fits, and whether it
+// then fits.
 func (p *Planner) selectVictims(w *state.Worker, need state.Resources) ([]*wire.Job, bool) {
 	free := p.freeResources(w)
 	var tasks []*wire.Job
@@ -358,7 +360,7 @@
 	})
 }
 
-// settle takes a placement out of the sums of what is pending.
+// removePending removes a placement and the resources assumed for it.
 func (p *Planner) removePending(job string) {
 	pending := p.pending[job]
 	delete(p.pending, job)
@@ -366,11 +368,11 @@
 	p.assumedByAccount[pending.account] = p.assumedByAccount[pending.account].Sub(pending.need)
 }
 
-// sendOrder sends an order at once, ahead of the worker's next report.
+// sendOrder sends an order immediately instead of with the answer to the next report.
 func (p *Planner) sendOrder(j *wire.Job, order *wire.TaskOrder) {
-	a := p.sessions[j.WorkerId]
-	if a == nil || a.report.Worker.Incarnation != j.WorkerIncarnation {
+	session := p.sessions[j.WorkerId]
+	if session == nil || session.report.Worker.Incarnation != j.WorkerIncarnation {
 		return
 	}
-	p.sendAnswer(a, nil, []*wire.TaskOrder{order})
+	p.sendAnswer(session, nil, []*wire.TaskOrder{order})
 }
--- a/internal/sched/plan/plan_test.go
+++ b/internal/sched/plan/plan_test.go
@@ -15,11 +15,9 @@
 
 const seeds = 150
 
-// Symptom: a task runs in two places, or a job is lost. Sequence: reports and
-// answers are late, lost and out of order; workers freeze past their leases,
-// restart, and report to leaders that have successors; leaders change in
-// mid-proposal. No job may start on one worker while it runs on another, and
-// all must finish.
+// Guards against jobs that are lost or run in two places. Messages are late, lost and out
+// of order; workers freeze past their leases, restart and report to old leaders; leaders
+// change while proposals are pending.
 func TestNoJobRunsInTwoPlaces(t *testing.T) {
 	evictions := 0
 	for seed := range uint64(seeds) {
@@ -32,8 +30,8 @@
 				jobs++
 			}
 			s.run(time.Duration(1+s.random.IntN(4)) * time.Second)
-			// The successor is elected an election timeout after the last
-			// round that the old leader had confirmed.
+			// The new leader is elected an election timeout after the old leader's
+			// last confirmed round.
 			s.now = s.now.Add(simOverlap)
 			s.elect()
 		}
@@ -45,10 +43,10 @@
 		}
 		evictions += s.evictions
 	}
-	assert.Assert(t, evictions > 0, "no schedule evicted anything")
+	assert.Assert(t, evictions > 0, "no task was evicted in any run")
 }
 
-// Symptom: one worker that fails everything eats all jobs' attempts.
+// Guards against a faulty worker that uses up the attempts of all jobs.
 func TestFaultyWorkerIsQuarantined(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSim(seed, 4)
@@ -68,8 +66,8 @@
 	}
 }
 
-// While both accounts want more than there is, they hold what their shares
-// say: here 1 to 3.
+// While both accounts request more than the capacity, their usage follows their shares,
+// 1 to 3.
 func TestSharesAreRespected(t *testing.T) {
 	s := newSim(1, 4)
 	for i := range 3000 {
@@ -86,12 +84,12 @@
 }
 
 func TestInvalidReports(t *testing.T) {
-	sound := func() *wire.AttendRequest {
+	valid := func() *wire.AttendRequest {
 		return &wire.AttendRequest{Sequence: 1, Worker: &wire.Worker{
 			WorkerId: "w", Incarnation: "a", Capacity: &wire.Resources{MilliProcessors: 1000, MemoryBytes: 1},
 		}}
 	}
-	assert.NilError(t, plan.CheckReport(sound()))
+	assert.NilError(t, plan.CheckReport(valid()))
 	cases := []struct {
 		field  string
 		change func(*wire.AttendRequest)
@@ -106,7 +104,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.field, func(t *testing.T) {
-			r := sound()
+			r := valid()
 			c.change(r)
 			err := plan.CheckReport(r)
 			assert.ErrorIs(t, err, plan.ErrInvalidReport)
--- a/internal/sched/plan/planner.go
+++ b/internal/sched/plan/planner.go
@@ -1,11 +1,11 @@
-// This file defines Planner, its options and its turn.
+// This file defines Planner, its options and its tick.
 
-// Package plan decides at the control leader what runs where: it hears
-// workers, grants leases, places queued jobs, moves evicted and lost ones,
-// and puts workers that fail everything aside.
+// Package plan schedules jobs at the control leader: it handles worker reports, grants
+// leases, places queued jobs, re-places jobs that were evicted or lost their worker, and
+// quarantines workers that fail every job.
 //
-// A Planner lives on the control loop and holds soft state only. All that must
-// survive is proposed as commands, and the replicated state checks each.
+// A Planner runs on the control loop and holds soft state only. Whatever must survive a
+// change of leader is proposed as a command, which the replicated state validates.
 package plan
 
 import (
@@ -20,18 +20,18 @@
 )
 
 const (
-	// lossCheckInterval is how often all workers are looked at for lost leases.
+	// lossCheckInterval is the interval at which workers are checked for expired leases.
 	lossCheckInterval = 100 * time.Millisecond
-	// sweepInterval is how often the state forgets what is old.
+	// sweepInterval is the interval at which old records are removed from the state.
 	sweepInterval = time.Minute
-	// minPassInterval gathers what becomes due into one pass.
+	// minPassInterval batches changes into one scheduling pass.
 	minPassInterval = 2 * time.Millisecond
-	// passRestFactor is how many times as long as it took a pass is followed by
-	// rest, so that placement leaves the loop to commits and heartbeats
-	// however many workers there are.
+	// passRestFactor is the pause between passes as a multiple of the last pass's
+	// duration. It leaves the loop free for commits and heartbeats, whatever the number
+	// of workers.
 	passRestFactor = 3
-	// passRetryInterval brings back passes that found no room, since back-offs
-	// run out by time alone.
+	// passRetryInterval is the interval of passes without changes: the end of a job's
+	// back-off changes nothing by itself.
 	passRetryInterval = 250 * time.Millisecond
 )
 
@@ -48,63 +48,64 @@
 )
 
 type (
-	// Options connect a Planner to the replica it runs beside.
+	// Options connect a Planner to the control replica that it runs on.
 	Options struct {
 		Machine *state.Machine
-		// Lease is how long a worker may run on without hearing from the
-		// leader; Overlap how long an earlier leader may have gone on
-		// granting, an election timeout.
+		// Lease is how long a worker may run tasks without an answer from the leader.
+		// Overlap is how long an earlier leader may still have granted leases after a new
+		// one was elected: the election timeout.
 		Lease, Overlap time.Duration
 		Propose        func(*wire.Command, func(state.Result, error))
-		// Leads tells whether and since when this replica leads.
+		// IsLeader reports whether this replica is the leader, and since when.
 		IsLeader func() (since time.Time, ok bool)
-		// Confirmed is the last moment at which it surely led.
+		// ConfirmedAt returns the last time at which a quorum confirmed its leadership.
 		ConfirmedAt func() time.Time
-		// Term is the leader's term, by which workers know old answers.
+		// Term returns the leader's term, by which workers reject answers of old leaders.
 		Term func() uint64
-		// Score ranks a worker for a job, higher is better. Spread is used
-		// when nil.
+		// Score ranks a worker for a job; higher is better. The default is Spread.
 		Score  func(Candidate) float64
 		Logger *slog.Logger
 	}
 
-	// attendance is what is known of a worker from its reports.
+	// workerSession holds the latest report of a worker's incarnation.
 	workerSession struct {
 		report *wire.AttendRequest
 		reply  func(*wire.WorkerAnswer)
-		// registering is set while a registration or loss is proposed.
-		registering         bool
+		// registering is set while a registration is proposed.
+		registering bool
+		// proposedCompletions are the attempts whose completion is proposed, by job.
 		proposedCompletions map[string]uint32
 	}
 
+	// pendingPlacement is a placement that is proposed but not committed.
 	pendingPlacement struct {
 		worker  string
 		account string
 		need    state.Resources
 	}
 
-	// Planner decides for one control replica while it leads.
+	// Planner schedules jobs on one control replica while it is the leader.
 	Planner struct {
 		options     Options
 		leaderSince time.Time
 		leases      *lease.Table
 		sessions    map[string]*workerSession
 		pending     map[string]pendingPlacement
-		// taken and claimed are the sums of pending, by worker and account.
+		// assumedByWorker and assumedByAccount are the sums of the resources in pending.
 		assumedByWorker, assumedByAccount map[string]state.Resources
-		evicting                          map[string]uint32
-		losing                            map[string]bool
+		evicting                          map[string]uint32 // attempts being evicted, by job
+		losing                            map[string]bool   // workers whose loss is proposed
 		health                            *health
 
-		dirty            bool
+		dirty            bool // a pass is needed
 		lastPassDuration time.Duration
-		// cursor is where the last choice among workers began.
+		// cursor is the index of the first worker considered for the last job.
 		cursor                             int
 		lastLossCheck, lastSweep, lastPass time.Time
 	}
 )
 
-// New returns a planner for a replica that doesn't lead yet.
+// New returns a planner for a replica that isn't the leader yet.
 func New(options Options) *Planner {
 	if options.Score == nil {
 		options.Score = Spread
@@ -125,7 +126,7 @@
 	p.dirty = true
 }
 
-// Turn does what is due. It is called on the control loop, often.
+// Tick does the work that is due. The control loop calls it in each iteration.
 func (p *Planner) Tick(now time.Time) {
 	if !p.checkLeadership() {
 		return
@@ -148,8 +149,9 @@
 	}
 }
 
-// leading drops the soft state when leadership was gained anew: what another
-// leader granted or proposed meanwhile isn't in it.
+// checkLeadership reports whether this replica is the leader. It resets the soft state
+// when the replica was elected again, since another leader may have granted leases or
+// proposed commands in between.
 func (p *Planner) checkLeadership() bool {
 	since, ok := p.options.IsLeader()
 	if !ok {
@@ -161,16 +163,16 @@
 	return true
 }
 
-// Changed tells that a job was submitted, ended or cancelled.
+// MarkChanged schedules a pass after a job was submitted, ended or cancelled.
 func (p *Planner) MarkChanged() { p.dirty = true }
 
-// Attending tells whether the worker holds a lease.
+// HoldsLease reports whether the worker's incarnation holds a lease.
 func (p *Planner) HoldsLease(worker, incarnation string, now time.Time) bool {
 	return p.leases.Active(worker, incarnation, now)
 }
 
-// declareLost gives up incarnations whose leases have surely run out, so that
-// their jobs can go on elsewhere.
+// declareLost proposes the loss of workers whose leases have certainly expired, so that
+// their jobs can be placed elsewhere.
 func (p *Planner) declareLost(now time.Time) {
 	for id, w := range p.options.Machine.Workers() {
 		incarnation := w.Record.Incarnation
@@ -181,13 +183,13 @@
 	}
 }
 
-// lose proposes the loss. From here on this leader grants the incarnation
-// nothing, though the command may take a while to be committed.
+// proposeLoss proposes the loss of a worker's incarnation. This leader grants it no more
+// leases, even before the command is committed.
 func (p *Planner) proposeLoss(id, incarnation string) {
 	p.losing[id] = true
 	since := p.leaderSince
-	a := p.sessions[id]
-	replaced := a != nil && a.report.Worker.Incarnation != incarnation
+	session := p.sessions[id]
+	replaced := session != nil && session.report.Worker.Incarnation != incarnation
 	command := &wire.Command{Body: &wire.Command_LoseWorker{LoseWorker: &wire.LoseWorker{
 		WorkerId: id, Incarnation: incarnation, Replaced: replaced,
 	}}}
@@ -201,7 +203,7 @@
 		}
 		lostTotal.Inc()
 		p.leases.Remove(id)
-		if a := p.sessions[id]; a != nil && a.report.Worker.Incarnation == incarnation {
+		if session := p.sessions[id]; session != nil && session.report.Worker.Incarnation == incarnation {
 			delete(p.sessions, id)
 		}
 		p.options.Logger.Warn("worker lost", "worker", id, "incarnation", incarnation, "replaced", replaced)
--- a/internal/sched/plan/report.go
+++ b/internal/sched/plan/report.go
@@ -1,4 +1,4 @@
-// This file defines how worker reports are heard and answered.
+// This file defines how worker reports are handled and answered.
 
 package plan
 
@@ -16,17 +16,17 @@
 const (
 	maxTasksReported = 4096
 	maxNameBytes     = 128
-	// Bounds on what a worker can be; anything beyond is a garbled report.
+	// Bounds on a worker's capacity. A report beyond them is corrupt.
 	maxMilliProcessors = 10_000_000
 	maxMemoryBytes     = 1 << 50
 	maxAccelerators    = 1024
 )
 
-// ErrInvalidReport is wrapped by every refusal of a report.
+// ErrInvalidReport is wrapped by all errors of CheckReport.
 var ErrInvalidReport = errors.New("impossible worker report")
 
-// CheckReport refuses a report that no sound worker sends, and names the
-// field. One worker's garbage must not reach the sums of others.
+// CheckReport validates a report and names the first invalid field in its error. A
+// corrupt report must not distort the sums over all workers.
 func CheckReport(r *wire.AttendRequest) error {
 	w := r.GetWorker()
 	c := w.GetCapacity()
@@ -58,7 +58,8 @@
 	return nil
 }
 
-// Report hears one worker. Reply sends answers to it, now and later.
+// HandleReport handles the report of one worker. Reply sends answers to the worker, also
+// after HandleReport has returned.
 func (p *Planner) HandleReport(now time.Time, r *wire.AttendRequest, reply func(*wire.WorkerAnswer)) {
 	if !p.checkLeadership() {
 		return
@@ -68,29 +69,29 @@
 		reportsRefused.Inc()
 		return
 	}
-	a := p.sessions[r.Worker.WorkerId]
-	if a != nil && a.report.Worker.Incarnation == r.Worker.Incarnation && r.Sequence <= a.report.Sequence {
-		return // overtaken on its way through another entry
+	session := p.sessions[r.Worker.WorkerId]
+	if session != nil && session.report.Worker.Incarnation == r.Worker.Incarnation && r.Sequence <= session.report.Sequence {
+		return // overtaken by a later report that came through another entry
 	}
-	if a == nil || a.report.Worker.Incarnation != r.Worker.Incarnation {
-		a = &workerSession{proposedCompletions: map[string]uint32{}}
-		p.sessions[r.Worker.WorkerId] = a
+	if session == nil || session.report.Worker.Incarnation != r.Worker.Incarnation {
+		session = &workerSession{proposedCompletions: map[string]uint32{}}
+		p.sessions[r.Worker.WorkerId] = session
 	}
-	a.report, a.reply = r, reply
-	if !p.admit(now, a) {
-		p.sendAnswer(a, nil, nil)
+	session.report, session.reply = r, reply
+	if !p.admit(now, session) {
+		p.sendAnswer(session, nil, nil)
 		return
 	}
-	p.proposeCompletions(a)
-	p.proposeCheckpoints(a)
-	p.sendAnswer(a, p.grantLease(now, a), p.ordersFor(a))
+	p.proposeCompletions(session)
+	p.proposeCheckpoints(session)
+	p.sendAnswer(session, p.grantLease(now, session), p.ordersFor(session))
 }
 
-// admit tells whether this incarnation is the registered one, and takes the
-// steps that make it so: the incarnation before it must be lost first, which
-// waits for its lease, since its tasks may run on.
-func (p *Planner) admit(now time.Time, a *workerSession) bool {
-	w := a.report.Worker
+// admit reports whether the session's incarnation is the registered one. If not, it
+// proposes the next step: the loss of the earlier incarnation once its lease has expired,
+// since its tasks may still run until then, or the registration of this one.
+func (p *Planner) admit(now time.Time, session *workerSession) bool {
+	w := session.report.Worker
 	known := p.options.Machine.Worker(w.WorkerId)
 	if known != nil && known.Record.Incarnation == w.Incarnation {
 		return !p.losing[w.WorkerId]
@@ -101,36 +102,36 @@
 		}
 		return false
 	}
-	if !a.registering {
-		p.register(now, a)
+	if !session.registering {
+		p.register(now, session)
 	}
 	return false
 }
 
-func (p *Planner) register(now time.Time, a *workerSession) {
-	a.registering = true
-	p.leases.Register(a.report.Worker.WorkerId, a.report.Worker.Incarnation, now)
-	command := &wire.Command{Body: &wire.Command_RegisterWorker{RegisterWorker: a.report.Worker}}
+func (p *Planner) register(now time.Time, session *workerSession) {
+	session.registering = true
+	p.leases.Register(session.report.Worker.WorkerId, session.report.Worker.Incarnation, now)
+	command := &wire.Command{Body: &wire.Command_RegisterWorker{RegisterWorker: session.report.Worker}}
 	p.options.Propose(command, func(r state.Result, err error) {
-		a.registering = false
-		if err != nil || r.Err != nil || p.sessions[a.report.Worker.WorkerId] != a {
+		session.registering = false
+		if err != nil || r.Err != nil || p.sessions[session.report.Worker.WorkerId] != session {
 			return
 		}
 		p.dirty = true
-		// No lease yet: it waits for the next report, so that it runs from a
+		// The first lease is granted with the next report, so that it starts from a
 		// report sent after the registration.
 	})
 }
 
-// grant returns a lease if this replica surely led a moment ago. A leader that
-// was frozen or cut off for longer than an election timeout may have a
-// successor, which counts lost workers from its own start.
-func (p *Planner) grantLease(now time.Time, a *workerSession) *durationpb.Duration {
+// grantLease returns a lease if this replica's leadership was confirmed within an election
+// timeout, or nil. After a longer pause or partition there may be a new leader, which
+// counts leases from its own election.
+func (p *Planner) grantLease(now time.Time, session *workerSession) *durationpb.Duration {
 	if now.Sub(p.options.ConfirmedAt()) >= p.options.Overlap {
 		leasesWithheld.Inc()
 		return nil
 	}
-	w := a.report.Worker
+	w := session.report.Worker
 	first := !p.leases.Active(w.WorkerId, w.Incarnation, now)
 	d := p.leases.Grant(w.WorkerId, w.Incarnation, now)
 	if first {
@@ -139,36 +140,36 @@
 	return durationpb.New(d)
 }
 
-func (p *Planner) sendAnswer(a *workerSession, granted *durationpb.Duration, orders []*wire.TaskOrder) {
-	w := a.report.Worker
-	a.reply(&wire.WorkerAnswer{
+func (p *Planner) sendAnswer(session *workerSession, granted *durationpb.Duration, orders []*wire.TaskOrder) {
+	w := session.report.Worker
+	session.reply(&wire.WorkerAnswer{
 		WorkerId: w.WorkerId, Incarnation: w.Incarnation,
-		Answer: &wire.AttendResponse{Sequence: a.report.Sequence, Term: p.options.Term(), Lease: granted, Orders: orders},
+		Answer: &wire.AttendResponse{Sequence: session.report.Sequence, Term: p.options.Term(), Lease: granted, Orders: orders},
 	})
 }
 
-// proposeCompletions commits the ends that a report tells of. The worker goes on
-// reporting each until the state no longer holds the attempt.
-func (p *Planner) proposeCompletions(a *workerSession) {
-	for _, t := range a.report.Tasks {
-		if t.State == wire.TaskState_TASK_STATE_RUNNING || a.proposedCompletions[t.JobId] == t.Attempt {
+// proposeCompletions proposes the ends of attempts in a report. The worker repeats each
+// until the state no longer has the attempt assigned to it.
+func (p *Planner) proposeCompletions(session *workerSession) {
+	for _, t := range session.report.Tasks {
+		if t.State == wire.TaskState_TASK_STATE_RUNNING || session.proposedCompletions[t.JobId] == t.Attempt {
 			continue
 		}
-		if !p.isAssigned(a, t) {
+		if !p.isAssigned(session, t) {
 			continue
 		}
-		p.proposeCompletion(a, t)
+		p.proposeCompletion(session, t)
 	}
 }
 
-func (p *Planner) proposeCompletion(a *workerSession, t *wire.TaskReport) {
-	a.proposedCompletions[t.JobId] = t.Attempt
-	worker := a.report.Worker.WorkerId
+func (p *Planner) proposeCompletion(session *workerSession, t *wire.TaskReport) {
+	session.proposedCompletions[t.JobId] = t.Attempt
+	worker := session.report.Worker.WorkerId
 	command := &wire.Command{Body: &wire.Command_EndTask{EndTask: &wire.EndTask{Report: t, WorkerId: worker}}}
 	p.options.Propose(command, func(r state.Result, err error) {
-		delete(a.proposedCompletions, t.JobId)
+		delete(session.proposedCompletions, t.JobId)
 		if err != nil {
-			return // the next report brings it again
+			return // the next report repeats it
 		}
 		p.dirty = true
 		if p.evicting[t.JobId] == t.Attempt {
@@ -177,13 +178,13 @@
 		if r.Err == nil {
 			p.recordCompletion(worker, r.Job, t)
 		}
-		p.sendAnswer(a, nil, []*wire.TaskOrder{{Kind: wire.OrderKind_ORDER_KIND_FORGET, JobId: t.JobId, Attempt: t.Attempt}})
+		p.sendAnswer(session, nil, []*wire.TaskOrder{{Kind: wire.OrderKind_ORDER_KIND_FORGET, JobId: t.JobId, Attempt: t.Attempt}})
 	})
 }
 
-// holds tells whether the state has this attempt running on this worker.
-func (p *Planner) isAssigned(a *workerSession, t *wire.TaskReport) bool {
-	w := p.options.Machine.Worker(a.report.Worker.WorkerId)
+// isAssigned reports whether the state has this attempt assigned to this worker.
+func (p *Planner) isAssigned(session *workerSession, t *wire.TaskReport) bool {
+	w := p.options.Machine.Worker(session.report.Worker.WorkerId)
 	if w == nil {
 		return false
 	}
@@ -191,34 +192,35 @@
 	return j != nil && j.Attempt == t.Attempt
 }
 
-func (p *Planner) proposeCheckpoints(a *workerSession) {
-	var fresh []*wire.TaskReport
-	for _, t := range a.report.Tasks {
-		if t.State != wire.TaskState_TASK_STATE_RUNNING || !p.isAssigned(a, t) {
+func (p *Planner) proposeCheckpoints(session *workerSession) {
+	var advanced []*wire.TaskReport
+	for _, t := range session.report.Tasks {
+		if t.State != wire.TaskState_TASK_STATE_RUNNING || !p.isAssigned(session, t) {
 			continue
 		}
 		if t.Checkpoint > p.options.Machine.Job(t.JobId).Checkpoint {
-			fresh = append(fresh, &wire.TaskReport{JobId: t.JobId, Attempt: t.Attempt, Checkpoint: t.Checkpoint})
+			advanced = append(advanced, &wire.TaskReport{JobId: t.JobId, Attempt: t.Attempt, Checkpoint: t.Checkpoint})
 		}
 	}
-	if len(fresh) == 0 {
+	if len(advanced) == 0 {
 		return
 	}
-	command := &wire.Command{Body: &wire.Command_SaveCheckpoints{SaveCheckpoints: &wire.SaveCheckpoints{Reports: fresh}}}
+	command := &wire.Command{Body: &wire.Command_SaveCheckpoints{SaveCheckpoints: &wire.SaveCheckpoints{Reports: advanced}}}
 	p.options.Propose(command, func(state.Result, error) {})
 }
 
-// orders compares what the worker reports with what it should hold.
-func (p *Planner) ordersFor(a *workerSession) []*wire.TaskOrder {
+// ordersFor returns the orders that reconcile the tasks a worker reports with the tasks
+// assigned to it.
+func (p *Planner) ordersFor(session *workerSession) []*wire.TaskOrder {
 	reported := map[string]*wire.TaskReport{}
 	var orders []*wire.TaskOrder
-	for _, t := range a.report.Tasks {
+	for _, t := range session.report.Tasks {
 		reported[t.JobId] = t
-		if !p.isAssigned(a, t) {
+		if !p.isAssigned(session, t) {
 			orders = append(orders, &wire.TaskOrder{Kind: wire.OrderKind_ORDER_KIND_FORGET, JobId: t.JobId, Attempt: t.Attempt})
 		}
 	}
-	for _, j := range p.options.Machine.Worker(a.report.Worker.WorkerId).Tasks {
+	for _, j := range p.options.Machine.Worker(session.report.Worker.WorkerId).Tasks {
 		t := reported[j.JobId]
 		if t == nil || t.Attempt < j.Attempt {
 			orders = append(orders, startOrder(j))
--- a/internal/sched/plan/sim_test.go
+++ b/internal/sched/plan/sim_test.go
@@ -40,8 +40,8 @@
 		tasks           map[string]*simTask
 		frozenUntil     time.Time
 		faulty          bool
-		// attached is the leader that the worker's reports reach. It may have
-		// a successor by now.
+		// attached is the leader that receives the worker's reports. It may have been
+		// succeeded by another.
 		attached *simLeader
 	}
 
@@ -56,7 +56,7 @@
 		term    uint64
 	}
 
-	// sim runs planners of successive leaders against workers. Commands are
+	// sim simulates the planners of successive leaders and their workers. Commands are
 	// committed late; messages are late, lost and out of order.
 	sim struct {
 		random  *rand.Rand
@@ -66,9 +66,9 @@
 		queue   []simMessage
 		commits []simCommit
 
-		leaders []*simLeader // the last one leads; earlier ones may think so
-		// crashing are the jobs that end every worker that starts them, crashes how many
-		// each has ended.
+		leaders []*simLeader // the last is the leader; earlier ones may not know yet
+		// crashingJobs are the jobs that crash every worker that starts them; crashes is
+		// the number of workers each has crashed.
 		crashingJobs map[string]bool
 		crashes      map[string]int
 		completed    map[string]int
@@ -109,28 +109,28 @@
 	return s
 }
 
-// elect makes a new leader. Those before it may go on for as long as their
-// last confirmed round allows.
+// elect adds a new leader. Earlier leaders may continue for as long as their last confirmed
+// round allows.
 func (s *sim) elect() {
-	l := &simLeader{term: uint64(len(s.leaders) + 1), since: s.now, confirmed: s.now}
-	l.planner = plan.New(plan.Options{
+	leader := &simLeader{term: uint64(len(s.leaders) + 1), since: s.now, confirmed: s.now}
+	leader.planner = plan.New(plan.Options{
 		Machine: s.machine, Lease: simLease, Overlap: simOverlap,
 		Propose: func(c *wire.Command, done func(state.Result, error)) {
-			s.commits = append(s.commits, simCommit{c, done, l.term})
+			s.commits = append(s.commits, simCommit{c, done, leader.term})
 		},
-		IsLeader:    func() (time.Time, bool) { return l.since, true },
-		ConfirmedAt: func() time.Time { return l.confirmed },
-		Term:        func() uint64 { return l.term },
+		IsLeader:    func() (time.Time, bool) { return leader.since, true },
+		ConfirmedAt: func() time.Time { return leader.confirmed },
+		Term:        func() uint64 { return leader.term },
 		Logger:      slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
-	s.leaders = append(s.leaders, l)
+	s.leaders = append(s.leaders, leader)
 }
 
 func (s *sim) leader() *simLeader { return s.leaders[len(s.leaders)-1] }
 
 func (s *sim) chance(p float64) bool { return s.random.Float64() < p }
 
-// post runs f after a random delay, or never.
+// send runs f after a random delay, or never.
 func (s *sim) send(f func()) {
 	if s.chance(0.03) {
 		return
@@ -153,17 +153,17 @@
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(simStep) {
 		s.commitSome()
 		s.deliver()
-		l := s.leader()
-		l.confirmed = s.now
-		l.planner.Tick(s.now)
+		leader := s.leader()
+		leader.confirmed = s.now
+		leader.planner.Tick(s.now)
 		for _, w := range s.workers {
 			s.stepWorker(w)
 		}
 	}
 }
 
-// commitSome commits what the leader proposed. An old leader's proposals are
-// lost, and it never hears of them.
+// commitSome commits some of the leader's proposals. Proposals of earlier leaders are lost
+// without a result.
 func (s *sim) commitSome() {
 	pending := s.commits
 	s.commits = nil
@@ -217,7 +217,7 @@
 	}
 }
 
-// restart ends a worker's process with all that runs there, and starts the next one.
+// restart ends a worker's process with its tasks, and starts the next incarnation.
 func (s *sim) restart(w *simWorker) {
 	s.dropTasks(w)
 	clear(w.tasks)
@@ -233,7 +233,7 @@
 	return ids
 }
 
-// drop is what a worker does without a lease.
+// dropTasks ends the tasks of a worker whose lease has expired.
 func (s *sim) dropTasks(w *simWorker) {
 	for _, id := range sortedTasks(w) {
 		if w.tasks[id].ended == nil {
@@ -311,8 +311,8 @@
 	}
 }
 
-// holdsLease tells whether a worker may run tasks now. One that is frozen past
-// its lease runs nothing, and drops its tasks before anything else once thawed.
+// holdsLease reports whether a worker may run tasks now. A worker frozen past its lease
+// runs nothing, and drops its tasks first when it resumes.
 func (s *sim) holdsLease(id string) bool {
 	for _, w := range s.workers {
 		if w.id == id {
