--- a/internal/store/graph/apply.go
+++ b/internal/store/graph/apply.go
@@ -1,4 +1,4 @@
-// This file defines Apply and the commands about the catalog, jobs and agents.
+// This file defines Apply and the commands for the catalog, jobs and agents.
 
 package graph
 
@@ -11,26 +11,26 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// Why a command changes nothing.
+// Errors of commands that change nothing.
 var (
 	ErrUnknownQueue        = errors.New("no such queue")
 	ErrUnknownJob          = errors.New("no such job")
 	ErrUnknownAgent        = errors.New("no such agent")
-	ErrContentMismatch     = errors.New("the id names a job with other content")
-	ErrSuperseded          = errors.New("the run isn't the task's present one")
-	ErrNotReady            = errors.New("the task isn't to be placed")
-	ErrIncarnationMismatch = errors.New("another incarnation is registered under the id")
+	ErrContentMismatch     = errors.New("a job with this id and other content exists")
+	ErrSuperseded          = errors.New("the run isn't newer than the task's latest run")
+	ErrNotReady            = errors.New("the task isn't ready to be placed")
+	ErrIncarnationMismatch = errors.New("another incarnation of the agent is registered")
 	ErrAgentLeaving        = errors.New("the agent is leaving")
 )
 
-// Result is what a command came to.
+// Result is the outcome of a command.
 type Result struct {
 	Err error
-	// Placed tells for each placement whether it holds.
+	// PlacementErrors has an entry for each placement; nil if it was accepted.
 	PlacementErrors []error
 }
 
-// Apply carries out one committed command, at the time that it bears.
+// Apply applies one committed command. At is the time recorded with the command.
 func (g *Graph) Apply(at time.Time, c *wire.WorkCommand) Result {
 	switch body := c.GetBody().(type) {
 	case *wire.WorkCommand_PutCatalog:
@@ -66,8 +66,8 @@
 	}
 }
 
-// putCatalog replaces the catalog by one of a higher version. Another one is
-// a late or repeated send and changes nothing, which is no error.
+// putCatalog replaces the catalog by one of a higher version. Any other version is a late
+// or repeated command and is ignored without an error.
 func (g *Graph) putCatalog(c *wire.Catalog) Result {
 	if c.Version <= g.catalog.Version {
 		return Result{}
@@ -91,7 +91,7 @@
 	}
 }
 
-// submit accepts a job. The same id with the same content is the same job.
+// submit accepts a job. It is idempotent: the same id with the same content is the same job.
 func (g *Graph) submit(at time.Time, s *wire.SubmitWork) error {
 	if known := g.jobs[s.Job]; known != nil {
 		if known.Queue != s.Queue || !proto.Equal(known.Spec, s.Spec) {
@@ -126,7 +126,7 @@
 	}
 }
 
-// updateReady keeps the set of ready stages true for one stage.
+// updateReady updates the membership of a stage in the set of ready stages.
 func (g *Graph) updateReady(s *Stage) {
 	if !s.Ready() {
 		delete(g.readyStages, s)
@@ -149,7 +149,7 @@
 	}
 }
 
-// cancel ends a job. Its runs are stopped by the leader.
+// cancel ends a job. The leader stops its runs.
 func (g *Graph) cancel(at time.Time, c *wire.CancelWork) error {
 	j := g.jobs[c.Job]
 	if j == nil || j.Queue != c.Queue {
@@ -181,16 +181,16 @@
 	g.notifyChange()
 }
 
-// notifyRunAgents touches the agents on which runs of a stage may exist: they are to be
-// stopped.
+// notifyRunAgents reports a change of the agents on which runs of a stage may exist, so
+// that the runs are stopped.
 func (g *Graph) notifyRunAgents(s *Stage) {
 	for _, t := range s.Tasks {
 		g.notifyAgentChange(t.Agent)
 	}
 }
 
-// putAgent registers an agent or renews what is known of it. Leaving is for
-// good: a report that says otherwise is an older one.
+// putAgent registers an agent or updates its record. An agent that is leaving stays so: a
+// report without it is an older one.
 func (g *Graph) putAgent(r *wire.Agent) error {
 	if g.AgentRemoved(r.Id) {
 		return ErrUnknownAgent
@@ -203,12 +203,12 @@
 		return nil
 	}
 	if known.Record.Incarnation != 0 && r.Incarnation != known.Record.Incarnation {
-		// Two processes of the agent reported before either was committed. The runs here
-		// are the first one's.
+		// Two incarnations of the agent reported before either was committed. The
+		// registered runs belong to the first.
 		return ErrIncarnationMismatch
 	}
 	if known.Record.Leaving && !r.Leaving {
-		// The command may be on its way to other replicas yet.
+		// The command's record may still be serialized for other replicas.
 		r = proto.Clone(r).(*wire.Agent)
 		r.Leaving = true
 	}
@@ -217,14 +217,13 @@
 	return nil
 }
 
-// removeAgent forgets an agent that is surely gone, and with it all that ran
-// there.
+// removeAgent removes an agent that has certainly ended, and releases its runs.
 func (g *Graph) removeAgent(at time.Time, d *wire.DropAgent) error {
-	r := g.agents[d.Id]
-	if r == nil {
+	agent := g.agents[d.Id]
+	if agent == nil {
 		return ErrUnknownAgent
 	}
-	for _, t := range sortedTasks(r.Tasks) {
+	for _, t := range sortedTasks(agent.Tasks) {
 		g.releaseRun(t)
 	}
 	delete(g.agents, d.Id)
@@ -234,6 +233,7 @@
 	return nil
 }
 
+// removeExpired removes ended jobs and the ids of removed agents after their retention.
 func (g *Graph) removeExpired(endedBefore time.Time) {
 	for id, j := range g.jobs {
 		if j.Ended() && j.EndedAt.Before(endedBefore) && !j.mayHaveRuns() {
@@ -247,5 +247,5 @@
 	}
 }
 
-// mayHaveRuns tells whether a run of the job may still exist somewhere.
+// mayHaveRuns reports whether a run of the job may still exist.
 func (j *Job) mayHaveRuns() bool { return j.activeRuns > 0 }
--- a/internal/store/graph/check.go
+++ b/internal/store/graph/check.go
@@ -1,4 +1,4 @@
-// This file defines which jobs and catalogs are valid.
+// This file defines the validation of jobs and catalogs.
 
 package graph
 
@@ -10,21 +10,21 @@
 )
 
 const (
-	// MaxPayloadBytes bounds the text that a job hands to its tasks; agents
-	// take no more.
+	// MaxPayloadBytes bounds the payload that a job passes to its tasks. Agents accept no
+	// more.
 	MaxPayloadBytes = 4000
-	// maxTasks bounds a job's tasks over all occurrences, so that one job
-	// can't fill the memory of a control replica; 50,000 take about 10 MB.
+	// maxTasks bounds a job's tasks over all occurrences, so that no single job exhausts
+	// the memory of a control replica; 50,000 tasks take about 10 MB.
 	maxTasks = 50000
 	maxSteps = 1000
 	// idLength is the length of a job's id in hexadecimal digits.
 	idLength = 16
 )
 
-// ErrInvalid is wrapped by all errors about content that can't be taken.
+// ErrInvalid is wrapped by all validation errors.
 var ErrInvalid = errors.New("invalid")
 
-// CheckID tells whether a job's id has the right form.
+// CheckID validates a job's id.
 func CheckID(id string) error {
 	if len(id) != idLength {
 		return fmt.Errorf("%w: a job's id has %d hexadecimal digits, not %d characters", ErrInvalid, idLength, len(id))
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// CheckSpec tells whether a job can be accepted.
+// CheckSpec validates a job's specification.
 func CheckSpec(s *wire.WorkSpec) error {
 	switch {
 	case len(s.GetPayload()) > MaxPayloadBytes:
@@ -50,12 +50,12 @@
 		if step.Count == 0 {
 			return fmt.Errorf("%w: step %d has no tasks", ErrInvalid, i)
 		}
-		for _, before := range step.After {
-			if int(before) >= i {
-				return fmt.Errorf("%w: step %d comes after step %d, which isn't an earlier one", ErrInvalid, i, before)
+		for _, dependency := range step.After {
+			if int(dependency) >= i {
+				return fmt.Errorf("%w: step %d comes after step %d, which isn't an earlier one", ErrInvalid, i, dependency)
 			}
-			if s.Steps[before].Standing {
-				return fmt.Errorf("%w: step %d comes after step %d, which never ends", ErrInvalid, i, before)
+			if s.Steps[dependency].Standing {
+				return fmt.Errorf("%w: step %d comes after step %d, which never ends", ErrInvalid, i, dependency)
 			}
 		}
 		tasks += uint64(step.Count) * uint64(max(s.Occurrences, 1))
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// CheckCatalog tells whether a catalog may be put in force.
+// CheckCatalog validates a catalog.
 func CheckCatalog(c *wire.Catalog) error {
 	pools := map[string]bool{}
 	for _, p := range c.Pools {
@@ -75,9 +75,9 @@
 		}
 		pools[p.Name] = true
 	}
-	names, places := map[string]bool{}, map[string]string{}
+	names, routes := map[string]bool{}, map[string]string{}
 	for _, q := range c.Queues {
-		place := q.Host + q.PathPrefix
+		route := q.Host + q.PathPrefix
 		switch {
 		case q.Name == "" || names[q.Name]:
 			return fmt.Errorf("%w: queue %q has no name, or one that is taken", ErrInvalid, q.Name)
@@ -85,10 +85,10 @@
 			return fmt.Errorf("%w: queue %q has no host, or no path prefix that begins with '/'", ErrInvalid, q.Name)
 		case !pools[q.Pool]:
 			return fmt.Errorf("%w: queue %q names pool %q, which isn't there", ErrInvalid, q.Name, q.Pool)
-		case places[place] != "":
-			return fmt.Errorf("%w: queues %q and %q have the same host and path prefix", ErrInvalid, places[place], q.Name)
+		case routes[route] != "":
+			return fmt.Errorf("%w: queues %q and %q have the same host and path prefix", ErrInvalid, routes[route], q.Name)
 		}
-		names[q.Name], places[place] = true, q.Name
+		names[q.Name], routes[route] = true, q.Name
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/store/graph/compact.go
@@ -0,0 +1,52 @@
+// This file defines the compact form in which ended jobs are kept.
+
+package graph
+
+import "sycamoredeck.example/internal/schema/wire"
+
+// compact replaces the tasks of an ended job without runs by summaries. Clients can query
+// a job for minutes after its end, and at thousands of tasks per second the full tasks
+// would dominate the memory of every replica and each snapshot.
+func (j *Job) compact() {
+	if !j.Ended() || j.mayHaveRuns() {
+		return
+	}
+	for _, stages := range j.Occurrences {
+		for _, s := range stages {
+			if s.summary == nil {
+				s.summary = s.summarize()
+				s.Tasks = nil
+			}
+		}
+	}
+}
+
+func (s *Stage) summarize() *wire.EndedStage {
+	summary := &wire.EndedStage{
+		Occurrence: s.Occurrence, Step: s.Index,
+		Runs: make([]uint32, len(s.Tasks)), Failures: make([]uint32, len(s.Tasks)), Done: make([]bool, len(s.Tasks)),
+		Crashes: make([]uint32, len(s.Tasks)),
+	}
+	for i, t := range s.Tasks {
+		summary.Runs[i], summary.Failures[i], summary.Done[i], summary.Crashes[i] = t.Run, t.Failures, t.Done, t.Crashes
+	}
+	return summary
+}
+
+// tasksFromSummary returns the tasks of a compacted stage that were placed.
+func tasksFromSummary(summary *wire.EndedStage) []*wire.WorkTask {
+	var tasks []*wire.WorkTask
+	for i := range summary.GetRuns() {
+		if summary.Runs[i] == 0 && !summary.Done[i] {
+			continue
+		}
+		task := &wire.WorkTask{
+			Occurrence: summary.Occurrence, Step: summary.Step, Index: uint32(i), Run: summary.Runs[i], Failures: summary.Failures[i], Done: summary.Done[i],
+		}
+		if i < len(summary.Crashes) { // missing in summaries of earlier versions
+			task.Crashes = summary.Crashes[i]
+		}
+		tasks = append(tasks, task)
+	}
+	return tasks
+}
--- a/internal/store/graph/crash_test.go
+++ b/internal/store/graph/crash_test.go
@@ -1,4 +1,4 @@
-// This file defines the tests of how crashes of agents are counted for tasks.
+// This file defines the tests of counting agent crashes for tasks.
 
 package graph
 
@@ -11,10 +11,8 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// A task that ended one agent after the other was started again for as long as there
-// were agents, 35 times in two minutes: agents that go down report no end, so no
-// attempt was counted. These are the counts that end it, and they outlive a replica's
-// restart, which begins with a snapshot.
+// Guards against a task that crashes one agent after another without ever failing: a crashed
+// agent reports no end, so no attempt is counted. The crash counts must survive a snapshot.
 func TestCrashesAreCounted(t *testing.T) {
 	const (
 		late    = wire.RunOutcome_RUN_OUTCOME_CRASHED
@@ -24,11 +22,11 @@
 		failed  = wire.WorkState_WORK_STATE_FAILED
 	)
 	cases := []struct {
-		name     string
-		standing bool
-		ends     []wire.RunOutcome
-		want     wire.WorkState
-		lastTry  bool
+		name         string
+		standing     bool
+		ends         []wire.RunOutcome
+		want         wire.WorkState
+		finalAttempt bool
 	}{
 		{"two at the start", false, []wire.RunOutcome{atStart, atStart}, running, true},
 		{"three at the start", false, []wire.RunOutcome{atStart, atStart, atStart}, failed, false},
@@ -46,15 +44,15 @@
 				assert.NilError(t, g.Apply(noon, placeCommand("a1", id)).PlacementErrors[0])
 				end := endCommand("a1", id, outcome)
 				g.Apply(noon, end)
-				g.Apply(noon, end) // told again, it counts once
+				g.Apply(noon, end) // a repeated report counts once
 				loaded := New()
 				loaded.Load(g.Save())
-				assert.Assert(t, proto.Equal(loaded.Save(), g.Save()), "a snapshot loses it")
+				assert.Assert(t, proto.Equal(loaded.Save(), g.Save()), "the snapshot is incomplete")
 				g = loaded
 			}
 			assert.Equal(t, g.Job(jobID).State, c.want)
 			if task := g.FindTask(runID(0, 0, 1)); task != nil {
-				assert.Equal(t, task.OnFinalAttempt(), c.lastTry)
+				assert.Equal(t, task.OnFinalAttempt(), c.finalAttempt)
 			}
 		})
 	}
--- a/internal/store/graph/drain.go
+++ b/internal/store/graph/drain.go
@@ -1,4 +1,4 @@
-// This file defines which failure domains are drained.
+// This file defines the draining of failure domains.
 
 package graph
 
@@ -15,10 +15,10 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// maxDrainedDomains bounds what an operator's mistake can put into every snapshot.
+// maxDrainedDomains bounds the state that mistaken drain commands can add to every snapshot.
 const maxDrainedDomains = 100
 
-// Why a placement, or a drain, changes nothing.
+// Errors of placements on drained failure domains and of drain commands.
 var (
 	ErrDrained           = errors.New("the agent's failure domain is drained")
 	ErrTooManyDrained    = fmt.Errorf("%w: %d failure domains are drained already", ErrInvalid, maxDrainedDomains)
@@ -26,15 +26,15 @@
 	errEmptyDomainName   = fmt.Errorf("%w: no failure domain is named", ErrInvalid)
 )
 
-// drains are the failure domains that get no new work. The zero value has none.
+// drainState holds the failure domains that get no new work. The zero value has none.
 type drainState struct {
 	since map[string]time.Time
-	// revision rises with each change, so that whoever is told of the domains by several
-	// replicas knows the latest.
+	// revision increases with each change, so that a receiver of several replicas' answers
+	// can tell the latest.
 	revision uint64
 }
 
-// CheckDomain tells whether a failure domain may be drained under a name.
+// CheckDomain validates the name of a failure domain to be drained.
 func CheckDomain(name string) error {
 	switch {
 	case name == "":
@@ -46,35 +46,35 @@
 	}
 }
 
-// Drained tells whether a failure domain gets no new work.
+// Drained reports whether a failure domain is drained.
 func (g *Graph) Drained(domain string) bool {
 	_, drained := g.drains.since[domain]
 	return drained
 }
 
-// DrainedDomains gives the failure domains that get no new work, in the order of their
-// names, and a revision that rises with each change of them.
+// DrainedDomains returns the drained failure domains sorted by name, and a revision that
+// increases with each change of them.
 func (g *Graph) DrainedDomains() (domains []string, revision uint64) {
 	return slices.Sorted(maps.Keys(g.drains.since)), g.drains.revision
 }
 
-// Domains gives each failure domain that has agents or is drained, in the order of their
-// names.
+// Domains returns the status of each failure domain that has agents or is drained, sorted
+// by name.
 func (g *Graph) Domains() []*wire.DomainStatus {
 	byName := map[string]*wire.DomainStatus{}
-	named := func(name string) *wire.DomainStatus {
+	statusOf := func(name string) *wire.DomainStatus {
 		if byName[name] == nil {
 			byName[name] = &wire.DomainStatus{FailureDomain: name}
 		}
 		return byName[name]
 	}
-	for _, at := range g.agents {
-		d := named(at.Record.FailureDomain)
-		d.Agents++
-		d.Runs += uint32(len(at.Tasks))
+	for _, agent := range g.agents {
+		status := statusOf(agent.Record.FailureDomain)
+		status.Agents++
+		status.Runs += uint32(len(agent.Tasks))
 	}
 	for name, since := range g.drains.since {
-		named(name).DrainedSince = timestamppb.New(since)
+		statusOf(name).DrainedSince = timestamppb.New(since)
 	}
 	var list []*wire.DomainStatus
 	for _, name := range slices.Sorted(maps.Keys(byName)) {
@@ -83,8 +83,8 @@
 	return list
 }
 
-// drain keeps new work out of a failure domain, or restores it. What runs there isn't
-// touched. A repeated order changes nothing, which is no error.
+// setDrained drains or restores a failure domain. Its runs continue. A repeated command is
+// ignored without an error.
 func (g *Graph) setDrained(at time.Time, d *wire.DrainDomain) error {
 	if g.Drained(d.FailureDomain) != d.Restore {
 		return nil
--- a/internal/store/graph/drain_test.go
+++ b/internal/store/graph/drain_test.go
@@ -17,7 +17,8 @@
 	return &wire.WorkCommand{Body: &wire.WorkCommand_DrainDomain{DrainDomain: &wire.DrainDomain{FailureDomain: domain, Restore: restore}}}
 }
 
-// newTestGraphWithDomains is a state with an agent in each of two failure domains, and a job.
+// newTestGraphWithDomains returns a state with a job and an agent in each of two failure
+// domains.
 func newTestGraphWithDomains(t *testing.T) *Graph {
 	t.Helper()
 	g := newTestGraph(t, &wire.Step{Count: 2})
@@ -38,7 +39,7 @@
 	assert.NilError(t, g.Apply(noon, placeCommand("a1", runID(0, 0, 1))).PlacementErrors[0])
 }
 
-// Guards against a repeated order being refused, or taken for a change.
+// Guards against a repeated drain command that fails or counts as a change.
 func TestDrainIsIdempotent(t *testing.T) {
 	g := newTestGraphWithDomains(t)
 	for range 2 {
@@ -56,7 +57,7 @@
 	assert.Equal(t, revision, uint64(2))
 }
 
-// Guards against a drain that a replica forgets when it starts from a snapshot.
+// Guards against drains missing from snapshots.
 func TestDrainSurvivesSnapshot(t *testing.T) {
 	g := newTestGraphWithDomains(t)
 	g.Apply(noon, drainCommand("east", false))
@@ -64,7 +65,7 @@
 	loaded.Load(g.Save())
 	assert.Assert(t, loaded.Drained("east") && !loaded.Drained("west"))
 	assert.Assert(t, proto.Equal(loaded.Save(), g.Save()))
-	t.Run("one of an earlier version", func(t *testing.T) {
+	t.Run("snapshot of an earlier version", func(t *testing.T) {
 		image := g.Save()
 		image.DrainedDomains, image.DrainRevision = nil, 0
 		old := New()
--- a/internal/store/graph/graph.go
+++ b/internal/store/graph/graph.go
@@ -1,12 +1,11 @@
-// This file defines Graph and how it is read.
+// This file defines Graph and its read methods.
 
-// Package graph is the replicated state of jobs that are made of steps and
-// tasks: the catalog of queues, the jobs, and which run of which task may
-// exist on which agent.
+// Package graph is the replicated state of jobs made of steps and tasks: the catalog of
+// queues, the jobs, and the runs of tasks that may exist on each agent.
 //
-// Apply is pure: time enters only as data of a committed command. A run is in
-// this state before the first order for it leaves, so any leader knows every
-// run that may exist. It leaves the state only with an end that is certain.
+// Apply is deterministic: times come only from committed commands. A run is added to the
+// state before the first order for it is sent, so every leader knows all runs that may
+// exist. It is removed only when it has certainly ended.
 package graph
 
 import (
@@ -18,17 +17,17 @@
 )
 
 type (
-	// Agent is a registered incarnation of a worker and what may run there.
+	// Agent is a registered agent and the tasks that may run there.
 	Agent struct {
 		Record *wire.Agent
-		// Tasks are those whose present run may exist on this agent.
+		// Tasks are the tasks whose latest run may exist on this agent.
 		Tasks map[*Task]bool
-		// Silence is nil for one that answers.
+		// LeaseExpiry is nil unless the agent is unreachable.
 		LeaseExpiry *LeaseExpiry
 	}
 
-	// Graph is the state. The zero value isn't usable; see New. It isn't safe
-	// for concurrent use.
+	// Graph is the replicated state of jobs and agents. New returns an empty one; the zero
+	// value isn't usable. It isn't safe for concurrent use.
 	Graph struct {
 		catalog       *wire.Catalog
 		queues        map[string]*wire.Queue
@@ -36,32 +35,30 @@
 		pools         map[string]*wire.WorkerPool
 		jobs          map[string]*Job
 		agents        map[string]*Agent
-		removedAgents map[string]time.Time
+		removedAgents map[string]time.Time // when each was removed
 		readyStages   map[*Stage]bool
-		pendingJobs   map[string]int // accepted jobs without a begun task, by queue
+		pendingJobs   map[string]int // accepted jobs without a placed task, by queue
 		sequence      uint64
 		estimates     *wire.Learned
 		drains        drainState
-		// Changed is called after each command that may have changed what is to
-		// be placed or where it may go; nil is allowed.
+		// OnChange, if set, is called after each command that may have changed which
+		// tasks are ready or where they can be placed.
 		OnChange func()
-		// Touched is called with the id of each agent whose record, runs or runs' jobs a
-		// command changed; nil is allowed. Whoever follows the state looks at those
-		// alone, and not at every run of thousands of agents in each turn.
+		// OnAgentChange, if set, is called with the id of each agent whose record, runs or
+		// runs' jobs a command changed, so that only those agents need to be synced.
 		OnAgentChange func(agent string)
-		// Readied is called with each stage that comes to have tasks to place; nil is
-		// allowed.
+		// OnStageReady, if set, is called with each stage that becomes ready.
 		OnStageReady func(*Stage)
-		// Finished is called with each job that reaches its final state by a
-		// command; nil is allowed.
+		// OnJobFinished, if set, is called with each job that a command brings to its final
+		// state.
 		OnJobFinished func(*Job)
-		// Boot is a clock that also counts suspension. What it shows is no part of the
-		// replicated state.
+		// BootClock is a clock that also runs while the machine is suspended. Its readings
+		// aren't part of the replicated state.
 		BootClock func() time.Duration
 	}
 )
 
-// New returns the empty state.
+// New returns an empty state.
 func New() *Graph {
 	g := &Graph{BootClock: boot.Now}
 	g.reset()
@@ -83,20 +80,19 @@
 	g.drains = drainState{since: map[string]time.Time{}}
 }
 
-// Catalog returns the catalog in force; version 0 is the empty one. It must
-// not be changed.
+// Catalog returns the current catalog; version 0 is the empty one. It must not be modified.
 func (g *Graph) Catalog() *wire.Catalog { return g.catalog }
 
-// Queue returns the queue of a name, or nil.
+// Queue returns the queue with a name, or nil.
 func (g *Graph) Queue(name string) *wire.Queue { return g.queues[name] }
 
-// Pool returns the pool of a name, or nil.
+// Pool returns the pool with a name, or nil.
 func (g *Graph) Pool(name string) *wire.WorkerPool { return g.pools[name] }
 
 // Job returns a job, or nil.
 func (g *Graph) Job(id string) *Job { return g.jobs[id] }
 
-// Jobs returns all jobs in the order in which they were accepted.
+// Jobs returns all jobs in the order of their acceptance.
 func (g *Graph) Jobs() []*Job {
 	jobs := make([]*Job, 0, len(g.jobs))
 	for _, j := range g.jobs {
@@ -109,32 +105,31 @@
 // Agent returns a registered agent, or nil.
 func (g *Graph) Agent(id string) *Agent { return g.agents[id] }
 
-// Agents returns the registered agents by id. It must not be changed.
+// Agents returns the registered agents by id. The map must not be modified.
 func (g *Graph) Agents() map[string]*Agent { return g.agents }
 
-// Dropped tells whether an agent of this id was dropped, and must not come
-// back: what it reports was sent before its end was settled.
+// AgentRemoved reports whether an agent with this id was removed. It must not be registered
+// again: its reports were sent before its removal.
 func (g *Graph) AgentRemoved(id string) bool {
 	_, ok := g.removedAgents[id]
 	return ok
 }
 
-// Learned is what earlier leaders learned of the work, or nil. It must not be
-// changed.
+// Estimates returns the estimates saved by earlier leaders, or nil. They must not be
+// modified.
 func (g *Graph) Estimates() *wire.Learned { return g.estimates }
 
-// Pending is the number of accepted jobs of a queue of which no task has begun.
+// PendingJobs returns the number of accepted jobs of a queue without a placed task.
 func (g *Graph) PendingJobs(queue string) int { return g.pendingJobs[queue] }
 
-// Ready returns the stages that have tasks to place, whether due yet or not,
-// in the order in which their jobs were accepted.
+// SortedReadyStages returns the ready stages, due or not, in the order of Stage.Before.
 func (g *Graph) SortedReadyStages() []*Stage {
 	stages := g.ReadyStages()
 	sort.Slice(stages, func(i, k int) bool { return stages[i].Before(stages[k]) })
 	return stages
 }
 
-// ReadyStages returns the same stages in no order.
+// ReadyStages returns the ready stages, due or not, in no particular order.
 func (g *Graph) ReadyStages() []*Stage {
 	stages := make([]*Stage, 0, len(g.readyStages))
 	for s := range g.readyStages {
@@ -143,7 +138,7 @@
 	return stages
 }
 
-// Find returns the task that a run id names, or nil.
+// FindTask returns the task of a run id, or nil.
 func (g *Graph) FindTask(id *wire.RunId) *Task {
 	j := g.jobs[id.GetJob()]
 	if j == nil || int(id.Occurrence) >= len(j.Occurrences) {
--- a/internal/store/graph/graph_test.go
+++ b/internal/store/graph/graph_test.go
@@ -1,4 +1,4 @@
-// This file defines the tests of the replicated state of jobs of steps.
+// This file defines the tests of the replicated state of jobs and agents.
 
 package graph
 
@@ -55,7 +55,7 @@
 	return &wire.RunId{Job: jobID, Step: step, Index: index, Run: run}
 }
 
-// prepared is a state with a catalog, two agents and one job.
+// newTestGraph returns a state with a catalog, two agents and one job.
 func newTestGraph(t *testing.T, steps ...*wire.Step) *Graph {
 	t.Helper()
 	g := New()
@@ -65,7 +65,7 @@
 	return g
 }
 
-// assertState compares a job's state and the number of stages ready.
+// assertState checks the job's state and the number of ready stages.
 func assertState(t *testing.T, g *Graph, want wire.WorkState, ready int) {
 	t.Helper()
 	assert.Equal(t, g.Job(jobID).State, want)
@@ -89,21 +89,19 @@
 	assertState(t, g, wire.WorkState_WORK_STATE_COMPLETED, 0)
 }
 
-// Symptom: the memory of every replica and its snapshots grow for as long as there is
-// load, and taking a snapshot holds up all else. Sequence: jobs of thousands of tasks
-// a second end. Cause: all tasks of a job were kept for as long as its state may be
-// asked for.
+// Guards against memory and snapshots that grow with every ended job because all its tasks
+// are kept for as long as clients can query it.
 func TestEndedJobsAreCompacted(t *testing.T) {
 	g := newTestGraph(t, &wire.Step{Count: 2})
 	g.Apply(noon, placeCommand("a1", runID(0, 0, 1), runID(0, 1, 1)))
 	g.Apply(noon, endCommand("a1", runID(0, 0, 1), wire.RunOutcome_RUN_OUTCOME_DONE))
 	before := g.Job(jobID).Record().Tasks
 	assert.Equal(t, len(before), 2)
-	t.Run("cancelled, one run left", func(t *testing.T) {
+	t.Run("cancelled with a run", func(t *testing.T) {
 		g.Apply(noon, &wire.WorkCommand{Body: &wire.WorkCommand_Cancel{Cancel: &wire.CancelWork{Job: jobID, Queue: "q"}}})
 		assert.Assert(t, g.FindTask(runID(0, 1, 1)) != nil)
 	})
-	t.Run("over", func(t *testing.T) {
+	t.Run("last run ended", func(t *testing.T) {
 		g.Apply(noon, endCommand("a1", runID(0, 1, 1), wire.RunOutcome_RUN_OUTCOME_STOPPED))
 		assert.Assert(t, g.FindTask(runID(0, 1, 1)) == nil)
 		assertState(t, g, wire.WorkState_WORK_STATE_CANCELLED, 0)
@@ -119,11 +117,8 @@
 	})
 }
 
-// Symptom: a task is run again though it was done, or counts an attempt twice.
-// Sequence: an agent lists an end again after its answer was lost, or a new
-// leader, which doesn't know what was acknowledged, has all ends listed anew.
-// Cause: an end that is applied without asking whether it is about the present
-// run.
+// Guards against tasks that run again after they are done, or attempts that are counted
+// twice: agents report an end again if the answer was lost or the leader changed.
 func TestRepeatedCompletionsAreIgnored(t *testing.T) {
 	g := newTestGraph(t, &wire.Step{Count: 1})
 	g.Apply(noon, placeCommand("a1", runID(0, 0, 1)))
@@ -171,13 +166,13 @@
 	assertState(t, g, wire.WorkState_WORK_STATE_FAILED, 0)
 }
 
-// Only failures count as attempts, and standing tasks have no limit.
+// Only failures count as attempts, and the attempts of standing tasks aren't limited.
 func TestOnlyFailuresCountAsAttempts(t *testing.T) {
 	lost := []wire.RunOutcome{
 		wire.RunOutcome_RUN_OUTCOME_STOPPED, wire.RunOutcome_RUN_OUTCOME_LAPSED, wire.RunOutcome_RUN_OUTCOME_BROKEN,
 		wire.RunOutcome_RUN_OUTCOME_ALONE, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, wire.RunOutcome_RUN_OUTCOME_LOST,
 	}
-	t.Run("other ends", func(t *testing.T) {
+	t.Run("other outcomes", func(t *testing.T) {
 		g := newTestGraph(t, &wire.Step{Count: 1})
 		for i, outcome := range lost {
 			g.Apply(noon, placeCommand("a1", runID(0, 0, uint32(i+1))))
@@ -204,7 +199,7 @@
 	assert.Equal(t, g.FindTask(runID(0, 0, 1)).Agent, "")
 }
 
-// A dropped agent never comes back: what it sends was sent before its end.
+// A removed agent can't register again: its messages were sent before its removal.
 func TestRemovedAgentsStayRemoved(t *testing.T) {
 	g := newTestGraph(t, &wire.Step{Count: 1})
 	g.Apply(noon, placeCommand("a1", runID(0, 0, 1)))
@@ -215,8 +210,8 @@
 	assert.Assert(t, g.AgentRemoved("a1"))
 }
 
-// Symptom: an agent that is leaving gets new work. Sequence: its report that it
-// leaves overtakes an older one that says it is ready.
+// Guards against new work for a leaving agent when its report that it is leaving overtakes
+// an older one.
 func TestLeavingIsFinal(t *testing.T) {
 	g := newTestGraph(t, &wire.Step{Count: 1})
 	g.Apply(noon, agentCommand("a1", true))
@@ -253,8 +248,7 @@
 	}
 }
 
-// Symptom: a caller cancels another account's job. Cause: the job was looked up
-// by its id alone, whatever queue the request was addressed to.
+// Guards against a caller who cancels another account's job through a queue of its own.
 func TestCancelNamesTheQueue(t *testing.T) {
 	g := newTestGraph(t, &wire.Step{Count: 1})
 	cancel := func(queue string) error {
@@ -278,8 +272,8 @@
 	queue := func(name, pool string) *wire.Queue {
 		return &wire.Queue{Name: name, Host: "h", PathPrefix: "/" + name + "/", Pool: pool}
 	}
-	same := queue("b", "p")
-	same.PathPrefix = "/a/"
+	duplicate := queue("b", "p")
+	duplicate.PathPrefix = "/a/"
 	pools := []*wire.WorkerPool{{Name: "p"}}
 	cases := []struct {
 		name string
@@ -298,7 +292,7 @@
 		{"an id with other letters", CheckID("5c0e7a21d94b36fz"), false},
 		{"a catalog", CheckCatalog(&wire.Catalog{Queues: []*wire.Queue{queue("a", "p")}, Pools: pools}), true},
 		{"unknown pool", CheckCatalog(&wire.Catalog{Queues: []*wire.Queue{queue("a", "x")}, Pools: pools}), false},
-		{"same place", CheckCatalog(&wire.Catalog{Queues: []*wire.Queue{queue("a", "p"), same}, Pools: pools}), false},
+		{"same host and path", CheckCatalog(&wire.Catalog{Queues: []*wire.Queue{queue("a", "p"), duplicate}, Pools: pools}), false},
 		{"same name", CheckCatalog(&wire.Catalog{Queues: []*wire.Queue{queue("a", "p"), queue("a", "p")}, Pools: pools}), false},
 	}
 	for _, c := range cases {
@@ -312,9 +306,8 @@
 	}
 }
 
-// Symptom: after a restart a replica holds another state than the others.
-// Sequence: random commands, with a snapshot and a load between any two.
-// Cause, where it fails: something that Apply depends on isn't in the image.
+// Guards against state that Apply depends on but that is missing from snapshots: after
+// random commands with snapshots in between, both replicas have the same state.
 func TestSnapshotIsComplete(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 3))
--- a/internal/store/graph/image.go
+++ b/internal/store/graph/image.go
@@ -1,4 +1,4 @@
-// This file defines how the state is saved and loaded.
+// This file defines how the state is saved to and loaded from snapshots.
 
 package graph
 
@@ -18,8 +18,8 @@
 	for _, j := range g.Jobs() {
 		image.Jobs = append(image.Jobs, saveJob(j))
 	}
-	for _, r := range g.agents {
-		image.Agents = append(image.Agents, r.Record)
+	for _, agent := range g.agents {
+		image.Agents = append(image.Agents, agent.Record)
 	}
 	sort.Slice(image.Agents, func(i, k int) bool { return image.Agents[i].Id < image.Agents[k].Id })
 	for id, at := range g.removedAgents {
@@ -30,12 +30,12 @@
 	return image
 }
 
-// Record returns a job with its tasks that were placed. It shares the spec with the
+// Record returns the job with all its tasks that were placed. It shares the spec with the
 // state.
 func (j *Job) Record() *wire.WorkJob {
 	record := saveJob(j)
-	for _, sum := range record.EndedStages {
-		record.Tasks = append(record.Tasks, tasksFromSummary(sum)...)
+	for _, summary := range record.EndedStages {
+		record.Tasks = append(record.Tasks, tasksFromSummary(summary)...)
 	}
 	record.EndedStages = nil
 	return record
@@ -69,7 +69,7 @@
 	return saved
 }
 
-// Load replaces the state by a saved one.
+// Load replaces the state by a saved one; nil is the empty state.
 func (g *Graph) Load(image *wire.WorkImage) {
 	g.reset()
 	if image == nil {
@@ -81,8 +81,8 @@
 	g.sequence = image.NextSequence
 	g.estimates = image.Learned
 	g.drains.load(image)
-	for _, r := range image.Agents {
-		g.agents[r.Id] = &Agent{Record: r, Tasks: map[*Task]bool{}}
+	for _, record := range image.Agents {
+		g.agents[record.Id] = &Agent{Record: record, Tasks: map[*Task]bool{}}
 	}
 	g.setLeaseExpiries(image.SilentAgents)
 	for id, at := range image.Dropped {
@@ -105,8 +105,8 @@
 	}
 	j.buildStages()
 	g.jobs[j.ID] = j
-	for _, sum := range saved.EndedStages {
-		for _, task := range tasksFromSummary(sum) {
+	for _, summary := range saved.EndedStages {
+		for _, task := range tasksFromSummary(summary) {
 			g.loadTask(j, task)
 		}
 	}
@@ -117,8 +117,8 @@
 		for _, s := range stages {
 			if s.doneTasks == len(s.Tasks) {
 				j.openStages--
-				for _, next := range s.dependents {
-					next.openDependencies--
+				for _, dependent := range s.dependents {
+					dependent.openDependencies--
 				}
 			}
 		}
@@ -145,7 +145,8 @@
 	}
 }
 
-// Overdue tells whether a job ended so long ago that it may be forgotten.
+// HasRemovableJobs reports whether a job ended before the given time and has no run that
+// may exist.
 func (g *Graph) HasRemovableJobs(endedBefore time.Time) bool {
 	for _, j := range g.jobs {
 		if j.Ended() && j.EndedAt.Before(endedBefore) && !j.mayHaveRuns() {
--- a/internal/store/graph/job.go
+++ b/internal/store/graph/job.go
@@ -18,10 +18,10 @@
 		AcceptedAt  time.Time
 		EndedAt     time.Time
 		Sequence    uint64
-		// Occurrences hold the stages of each time the steps run.
+		// Occurrences hold the stages of each repetition of the steps.
 		Occurrences [][]*Stage
-		openStages  int // stages not ended
-		activeRuns  int // tasks of which a run may exist
+		openStages  int // stages that haven't ended
+		activeRuns  int // tasks with a run that may exist
 		started     bool
 	}
 
@@ -31,20 +31,20 @@
 		Occurrence uint32
 		Index      uint32
 		Step       *wire.Step
-		// Tasks are dropped once the job has ended and none of its runs may exist any
-		// more; ended then tells what became of them.
+		// Tasks is nil once the job has ended and has no run that may exist; summary then
+		// has the tasks' outcomes.
 		Tasks []*Task
-		// Due is when the stage may start at the earliest; zero is at once.
+		// Due is the earliest start; zero means immediately.
 		Due time.Time
-		// Longest is the declared time from this stage's start to the end of
-		// the job along the longest chain.
+		// CriticalPath is the declared time from the stage's start to the end of the job
+		// along the longest chain of steps.
 		CriticalPath time.Duration
 
-		openDependencies int // stages before it that haven't ended
+		openDependencies int // earlier stages it waits for
 		dependents       []*Stage
 		doneTasks        int
 		summary          *wire.EndedStage
-		// Unplaced counts the tasks that neither run nor have ended.
+		// Unplaced is the number of tasks that neither run nor have ended.
 		Unplaced int
 	}
 
@@ -54,54 +54,54 @@
 		Index    uint32
 		Run      uint32 // number of its latest run; 0 before the first
 		Failures uint32
-		// Crashes counts the agents that ended without notice soon after a run of the
-		// task had come there, StartCrashes those of them on which it had just been
-		// started. Any of them may be its doing.
+		// Crashes is the number of agents that crashed soon after a run of the task was
+		// placed there, and StartCrashes the number of those that crashed as it started.
+		// The task may be the cause of any of them.
 		Crashes, StartCrashes uint32
 		Done                  bool
-		// Checkpoint is what the next run resumes from; empty for none.
+		// Checkpoint is the point from which the next run resumes, or empty.
 		Checkpoint string
-		// Agent is where the latest run may exist; empty when it surely
-		// exists nowhere.
+		// Agent is the agent on which the latest run may exist; empty if the run has
+		// certainly ended.
 		Agent string
 		// LastFailedOn is the agent of the latest failed run.
 		LastFailedOn string
-		// AvoidAgent is where it disturbed others; the leader's own note, not
-		// part of the replicated state.
+		// AvoidAgent is the agent on which it interfered with others. It is set by the
+		// leader and isn't part of the replicated state.
 		AvoidAgent string
 	}
 )
 
-// ID names the task's latest run.
+// ID returns the id of the task's latest run.
 func (t *Task) ID() *wire.RunId {
 	s := t.Stage
 	return &wire.RunId{Job: s.Job.ID, Occurrence: s.Occurrence, Step: s.Index, Index: t.Index, Run: t.Run}
 }
 
-// Placeable tells whether the task waits to be placed.
+// Placeable reports whether the task has neither run nor end, and can be placed.
 func (t *Task) Placeable() bool { return !t.Done && t.Agent == "" }
 
-// Suspect tells whether the task is likely enough to end the agents on which it starts
-// that it is kept apart: it had just been started when one crashed, or two crashed later.
-// Most of what goes with an agent is neither, and there would be too many to keep apart.
+// Suspect reports whether the task is likely to crash agents, so that it is isolated from
+// other suspects: one agent crashed as it started, or two crashed later. A single later
+// crash isn't enough, or too many tasks would be isolated.
 func (t *Task) Suspect() bool { return t.StartCrashes > 0 || t.Crashes > 1 }
 
-// OnFinalAttempt tells whether the task's next start is made apart from all others, since one
-// more crash fails its job. A standing task that crashed later isn't held up for that: it
-// has to run again soon, and would wait for seconds.
+// OnFinalAttempt reports whether one more crash fails the task's job, so that its next start
+// is isolated from all other starts. It ignores the later crashes of standing tasks, which
+// have to restart quickly and can't wait for an isolated start.
 func (t *Task) OnFinalAttempt() bool {
 	return t.StartCrashes == MaxStartCrashes-1 || t.Crashes == MaxCrashes-1 && !t.Stage.Standing()
 }
 
-// Ended tells whether a job has reached its final state.
+// Ended reports whether the job has reached its final state.
 func (j *Job) Ended() bool {
 	return j.State != wire.WorkState_WORK_STATE_QUEUED && j.State != wire.WorkState_WORK_STATE_RUNNING
 }
 
-// Begun tells whether a task of the job has been placed.
+// Started reports whether a task of the job has been placed.
 func (j *Job) Started() bool { return j.started }
 
-// Ran tells whether a task of the stage has been placed before.
+// HasRun reports whether a task of the stage has been placed before.
 func (s *Stage) HasRun() bool {
 	for _, t := range s.Tasks {
 		if t.Run > 0 {
@@ -111,8 +111,7 @@
 	return false
 }
 
-// OnFinalAttempt tells whether a task of the stage that waits to be placed is on its last
-// try.
+// OnFinalAttempt reports whether a placeable task of the stage is on its final attempt.
 func (s *Stage) OnFinalAttempt() bool {
 	for _, t := range s.Tasks {
 		if t.Placeable() && t.OnFinalAttempt() {
@@ -122,13 +121,13 @@
 	return false
 }
 
-// Left is the number of tasks that haven't ended.
+// Remaining returns the number of tasks that haven't ended.
 func (s *Stage) Remaining() int { return len(s.Tasks) - s.doneTasks }
 
-// Ready tells whether the stage has tasks to place, due yet or not.
+// Ready reports whether the stage has tasks that can be placed once it is due.
 func (s *Stage) Ready() bool { return s.Unplaced > 0 && s.openDependencies == 0 && !s.Job.Ended() }
 
-// Standing tells whether the stage's tasks run until the job is cancelled.
+// Standing reports whether the stage's tasks run until the job is cancelled.
 func (s *Stage) Standing() bool { return s.Step.Standing }
 
 // Before orders stages by their jobs' acceptance, occurrence and step.
@@ -143,7 +142,7 @@
 	}
 }
 
-// Failures is the number of the job's failed runs.
+// Failures returns the number of the job's failed runs.
 func (j *Job) Failures() uint32 {
 	var sum uint32
 	for _, stages := range j.Occurrences {
@@ -156,7 +155,7 @@
 	return sum
 }
 
-// Crashes is the highest number of crashes that a task of the job has been under.
+// Crashes returns the highest number of crashes counted for a task of the job.
 func (j *Job) Crashes() uint32 {
 	var most uint32
 	for _, stages := range j.Occurrences {
@@ -171,8 +170,8 @@
 
 // build makes the stages that a job's spec describes.
 func (j *Job) buildStages() {
-	times := max(j.Spec.Occurrences, 1)
-	for k := range times {
+	occurrences := max(j.Spec.Occurrences, 1)
+	for k := range occurrences {
 		var due time.Time
 		if j.Spec.Occurrences > 0 {
 			due = j.Spec.FirstDue.AsTime().Add(time.Duration(k) * j.Spec.Period.AsDuration())
@@ -192,24 +191,26 @@
 	}
 }
 
-// link connects the stages of one occurrence. Steps name only earlier ones, so
-// that going backwards meets each stage after all that follow it.
+// linkStages connects the stages of one occurrence and computes their critical paths.
+// Steps depend on earlier steps only, so a backward pass visits each stage after its
+// dependents.
 func linkStages(stages []*Stage) {
 	for _, s := range stages {
-		for _, before := range distinct(s.Step.After) {
-			stages[before].dependents = append(stages[before].dependents, s)
+		for _, dependency := range distinct(s.Step.After) {
+			stages[dependency].dependents = append(stages[dependency].dependents, s)
 			s.openDependencies++
 		}
 	}
 	for i := len(stages) - 1; i >= 0; i-- {
 		s := stages[i]
-		for _, n := range s.dependents {
-			s.CriticalPath = max(s.CriticalPath, n.CriticalPath)
+		for _, dependent := range s.dependents {
+			s.CriticalPath = max(s.CriticalPath, dependent.CriticalPath)
 		}
 		s.CriticalPath += time.Duration(s.Step.EstimateMs) * time.Millisecond
 	}
 }
 
+// distinct returns the numbers without duplicates.
 func distinct(numbers []uint32) []uint32 {
 	seen := map[uint32]bool{}
 	var kept []uint32
--- a/internal/store/graph/silence_test.go
+++ b/internal/store/graph/lease_expiry_test.go
@@ -1,4 +1,4 @@
-// This file defines the tests of what is kept of agents that don't answer.
+// This file defines the tests of the lease expiries of unreachable agents.
 
 package graph
 
@@ -12,14 +12,14 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-func leaseExpiryCommand(id string, lapsesIn *durationpb.Duration) *wire.WorkCommand {
+func leaseExpiryCommand(id string, expiresIn *durationpb.Duration) *wire.WorkCommand {
 	return &wire.WorkCommand{Body: &wire.WorkCommand_SilentAgents{SilentAgents: &wire.SilentAgents{
-		Agents: []*wire.SilentAgent{{Id: id, LapsesIn: lapsesIn}},
+		Agents: []*wire.SilentAgent{{Id: id, LapsesIn: expiresIn}},
 	}}}
 }
 
-// Guards against a lease that a replica takes for run out sooner than the leader that
-// granted it: each counts from when it heard of the record, whatever its clock shows.
+// Guards against a replica that treats a lease as expired too early: each replica counts
+// from when it applied or loaded the record, whatever its clock shows.
 func TestLeaseExpiryCountsFromLocalApply(t *testing.T) {
 	now := 100 * time.Second
 	boot := func() time.Duration { return now }
@@ -38,12 +38,12 @@
 		assert.Assert(t, !loaded.Agent("a1").LeaseExpiry.Expired(now+4999*time.Millisecond))
 		assert.Assert(t, loaded.Agent("a1").LeaseExpiry.Expired(now+5*time.Second))
 	})
-	t.Run("answers again", func(t *testing.T) {
+	t.Run("reachable again", func(t *testing.T) {
 		g.Apply(noon, leaseExpiryCommand("a1", nil))
 		assert.Assert(t, g.Agent("a1").LeaseExpiry == nil)
 		assert.Equal(t, len(g.Save().SilentAgents), 0)
 	})
-	t.Run("dropped meanwhile", func(t *testing.T) {
+	t.Run("removed", func(t *testing.T) {
 		g.Apply(noon, &wire.WorkCommand{Body: &wire.WorkCommand_DropAgent{DropAgent: &wire.DropAgent{Id: "a1"}}})
 		g.Apply(noon, leaseExpiryCommand("a1", durationpb.New(time.Second)))
 		assert.Assert(t, g.Agent("a1") == nil)
--- a/internal/store/graph/match.go
+++ b/internal/store/graph/match.go
@@ -1,4 +1,4 @@
-// This file defines how a host and path find their queue.
+// This file defines the routing of a host and path to a queue.
 
 package graph
 
@@ -8,9 +8,8 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// Match returns the queue whose host is the given one and whose path prefix is
-// the longest that the path begins with, and the rest of the path; nil when
-// there is none.
+// MatchQueue returns the queue with the given host and the longest matching path prefix,
+// and the rest of the path. It returns nil if no queue matches.
 func (g *Graph) MatchQueue(host, path string) (*wire.Queue, string) {
 	var best *wire.Queue
 	for _, q := range g.queuesByHost[host] {
--- a/internal/store/graph/runs.go
+++ b/internal/store/graph/runs.go
@@ -1,4 +1,4 @@
-// This file defines how runs are placed and end.
+// This file defines how runs are placed and how they end.
 
 package graph
 
@@ -10,16 +10,16 @@
 )
 
 const (
-	// defaultMaxAttempts is used where a job's queue is gone or names no limit.
+	// defaultMaxAttempts applies if a job's queue was removed or has no limit.
 	defaultMaxAttempts = 3
-	// MaxStartCrashes is how many agents may crash as a task starts there before its job
-	// fails. Each one takes all that runs there along, so few; but of the runs that go
-	// with an agent at most one is the cause, so a task isn't given up for one crash, nor
-	// for a second that happened to hit it again. The third start is made apart from all
-	// others, so that it tells.
+	// MaxStartCrashes is the number of agents that crash as a task starts at which its job
+	// fails. Each crash ends all runs on the agent, so the limit is low. But at most one of
+	// those runs is the cause, so one crash or a coincidental second doesn't fail the job.
+	// The third start is isolated from all others, so a crash then identifies the cause.
 	MaxStartCrashes = 3
-	// MaxCrashes is the same for all crashes soon after a task had come to the agent. A
-	// task that works for a while first can't be told from those beside it, so more.
+	// MaxCrashes is the limit for all crashes soon after a task was placed. It is higher
+	// since a task that runs for a while first can't be distinguished from the other runs
+	// on the agent.
 	MaxCrashes = 5
 )
 
@@ -31,18 +31,18 @@
 	return res
 }
 
-// placeRun notes that a run may exist. What is asked is checked here and not
-// by the leader that asks, whose view may be older than this state.
+// placeRun records that a run may exist. The placement is validated here, since the view
+// of the leader that proposed it may be older than this state.
 func (g *Graph) placeRun(p *wire.RunPlacement) error {
-	t, r := g.FindTask(p.Id), g.agents[p.Agent]
+	t, agent := g.FindTask(p.Id), g.agents[p.Agent]
 	switch {
 	case t == nil:
 		return ErrUnknownJob
-	case r == nil:
+	case agent == nil:
 		return ErrUnknownAgent
-	case r.Record.Leaving:
+	case agent.Record.Leaving:
 		return ErrAgentLeaving
-	case g.Drained(r.Record.FailureDomain):
+	case g.Drained(agent.Record.FailureDomain):
 		return ErrDrained
 	case !t.Placeable() || t.Stage.Job.Ended() || t.Stage.openDependencies > 0:
 		return ErrNotReady
@@ -50,7 +50,7 @@
 		return ErrSuperseded
 	}
 	t.Run, t.Agent = p.Id.Run, p.Agent
-	r.Tasks[t] = true
+	agent.Tasks[t] = true
 	t.Stage.Job.activeRuns++
 	g.notifyAgentChange(t.Agent)
 	t.Stage.Unplaced--
@@ -59,10 +59,10 @@
 	return nil
 }
 
-// release notes that the task's latest run surely exists nowhere any more.
+// releaseRun records that the task's latest run has certainly ended.
 func (g *Graph) releaseRun(t *Task) {
-	if r := g.agents[t.Agent]; r != nil {
-		delete(r.Tasks, t)
+	if agent := g.agents[t.Agent]; agent != nil {
+		delete(agent.Tasks, t)
 	}
 	g.notifyAgentChange(t.Agent)
 	if t.Agent != "" {
@@ -76,8 +76,8 @@
 	t.Stage.Job.compact()
 }
 
-// end notes how a run ended. An end of another run than the present one is a
-// repeated report and changes nothing.
+// endRun records the outcome of a run. An outcome of a run that isn't the task's latest one
+// is a repeated report and is ignored.
 func (g *Graph) endRun(at time.Time, e *wire.RunEnd) {
 	t := g.FindTask(e.Id)
 	if t == nil || t.Run != e.Id.Run || t.Agent != e.Agent || t.Agent == "" {
@@ -104,8 +104,8 @@
 	}
 }
 
-// saveCheckpoint keeps what the next run resumes from. All members of a gang
-// resume from the same point.
+// saveCheckpoint sets the checkpoint from which the next run resumes. All members of a gang
+// resume from the same checkpoint.
 func (g *Graph) saveCheckpoint(t *Task, checkpoint string) {
 	t.Checkpoint = checkpoint
 	if !t.Stage.Step.Gang {
@@ -116,9 +116,8 @@
 	}
 }
 
-// completeTask completes a task, or a whole gang: its members end together, so the
-// end of one stands for all. The others' runs still hold their room until
-// their own ends are known.
+// completeTask completes a task, or all tasks of its gang, since the members end together.
+// The runs of the other members keep their resources until their own ends are reported.
 func (g *Graph) completeTask(at time.Time, t *Task) {
 	finished := []*Task{t}
 	if t.Stage.Step.Gang {
@@ -145,16 +144,16 @@
 	g.updateReady(s)
 	j := s.Job
 	j.openStages--
-	for _, next := range s.dependents {
-		next.openDependencies--
-		g.updateReady(next)
+	for _, dependent := range s.dependents {
+		dependent.openDependencies--
+		g.updateReady(dependent)
 	}
 	if j.openStages == 0 {
 		g.finishJob(at, j, wire.WorkState_WORK_STATE_COMPLETED)
 	}
 }
 
-// recordFailure counts an attempt, of the task or of its whole gang.
+// recordFailure counts a failed attempt of the task or of its gang.
 func (g *Graph) recordFailure(at time.Time, t *Task) {
 	t.LastFailedOn = t.Agent
 	g.releaseRun(t)
@@ -171,8 +170,8 @@
 	}
 }
 
-// recordCrash counts a crash under a task, standing or not. An agent that goes down
-// reports no end, so without this a task that takes its agents down is started forever.
+// recordCrash counts a crash of a task's agent, for standing tasks as well. A crashed agent
+// reports no ends, so a task that crashes its agents would otherwise be restarted forever.
 func (g *Graph) recordCrash(at time.Time, t *Task, atStart bool) {
 	g.releaseRun(t)
 	if t.Done {
