--- a/internal/sched/plan/health.go
+++ b/internal/sched/plan/health.go
@@ -103,8 +103,8 @@
 }
 
 func (p *Planner) proposeQuarantine(worker string) {
-	known := p.options.Machine.Worker(worker)
-	if known == nil || known.Quarantine != "" {
+	registered := p.options.Machine.Worker(worker)
+	if registered == nil || registered.Quarantine != "" {
 		return
 	}
 	reason := fmt.Sprintf("failed %d jobs in a row", len(p.health.streaks[worker].jobs))
--- a/internal/sched/plan/report.go
+++ b/internal/sched/plan/report.go
@@ -92,13 +92,13 @@
 // since its tasks may still run until then, or the registration of this one.
 func (p *Planner) admit(now time.Time, session *workerSession) bool {
 	w := session.report.Worker
-	known := p.options.Machine.Worker(w.WorkerId)
-	if known != nil && known.Record.Incarnation == w.Incarnation {
+	registered := p.options.Machine.Worker(w.WorkerId)
+	if registered != nil && registered.Record.Incarnation == w.Incarnation {
 		return !p.losing[w.WorkerId]
 	}
-	if known != nil {
-		if !p.losing[w.WorkerId] && p.leases.Expired(w.WorkerId, known.Record.Incarnation, now) {
-			p.proposeLoss(w.WorkerId, known.Record.Incarnation)
+	if registered != nil {
+		if !p.losing[w.WorkerId] && p.leases.Expired(w.WorkerId, registered.Record.Incarnation, now) {
+			p.proposeLoss(w.WorkerId, registered.Record.Incarnation)
 		}
 		return false
 	}
--- a/internal/sched/tails/model.go
+++ b/internal/sched/tails/model.go
@@ -88,8 +88,8 @@
 // Weight returns the utilization that an opportunistic image would add to a standing one
 // if it used all of an agent's processors.
 func (m *Model) Weight(standing, opportunistic string) float64 {
-	if known, ok := m.weights[imagePair{standing, opportunistic}]; ok {
-		return known.weight
+	if current, ok := m.weights[imagePair{standing, opportunistic}]; ok {
+		return current.weight
 	}
 	return priorWeight
 }
@@ -109,8 +109,8 @@
 	sum := 0.0
 	for image, share := range colocated.sorted() {
 		variance := priorWeightVariance
-		if known, ok := m.weights[imagePair{standing, image}]; ok {
-			variance = known.variance
+		if current, ok := m.weights[imagePair{standing, image}]; ok {
+			variance = current.variance
 		}
 		sum += math.Sqrt(variance) * share
 	}
@@ -125,30 +125,30 @@
 	}
 	totalVariance := variance
 	for image, share := range change.sorted() {
-		known := m.currentEstimate(standing, image, now)
-		totalVariance += known.variance * share * share
-		m.weights[imagePair{standing, image}] = known
+		current := m.currentEstimate(standing, image, now)
+		totalVariance += current.variance * share * share
+		m.weights[imagePair{standing, image}] = current
 	}
 	bound := outlierDeviations * math.Sqrt(totalVariance)
 	residual = min(max(residual, -bound), bound)
 	for image, share := range change {
-		known := m.weights[imagePair{standing, image}]
-		gain := known.variance * share / totalVariance
-		known.weight = min(max(known.weight+gain*residual, 0), maxWeight)
-		known.variance *= 1 - gain*share
-		m.weights[imagePair{standing, image}] = known
+		current := m.weights[imagePair{standing, image}]
+		gain := current.variance * share / totalVariance
+		current.weight = min(max(current.weight+gain*residual, 0), maxWeight)
+		current.variance *= 1 - gain*share
+		m.weights[imagePair{standing, image}] = current
 	}
 }
 
 // currentEstimate returns the estimate of a pair with its variance grown until now.
 func (m *Model) currentEstimate(standing, opportunistic string, now time.Duration) estimate {
-	known, ok := m.weights[imagePair{standing, opportunistic}]
+	current, ok := m.weights[imagePair{standing, opportunistic}]
 	if !ok {
 		return estimate{weight: priorWeight, variance: priorWeightVariance, at: now}
 	}
-	known.variance = min(known.variance+weightDrift*(now-known.at).Seconds(), priorWeightVariance)
-	known.at = now
-	return known
+	current.variance = min(current.variance+weightDrift*(now-current.at).Seconds(), priorWeightVariance)
+	current.at = now
+	return current
 }
 
 // sorted iterates over a load in the order of the images' names. A floating-point sum
--- a/internal/sched/tails/save.go
+++ b/internal/sched/tails/save.go
@@ -14,9 +14,9 @@
 	saved := &wire.Learned{Swing: &wire.LearnedSwing{
 		Samples: m.Variation.samples, Sum: m.Variation.sum, Squares: m.Variation.squares, Products: m.Variation.products, LagSeconds: m.Variation.lagSeconds,
 	}}
-	for pair, known := range m.weights {
+	for pair, estimate := range m.weights {
 		saved.Pairs = append(saved.Pairs, &wire.LearnedPair{
-			Standing: pair.standing, Beside: pair.opportunistic, Weight: float32(known.weight), Variance: float32(known.variance),
+			Standing: pair.standing, Beside: pair.opportunistic, Weight: float32(estimate.weight), Variance: float32(estimate.variance),
 		})
 	}
 	sort.Slice(saved.Pairs, func(i, k int) bool {
--- a/internal/store/graph/apply.go
+++ b/internal/store/graph/apply.go
@@ -93,8 +93,8 @@
 
 // submit accepts a job. It is idempotent: the same id with the same content is the same job.
 func (g *Graph) submit(at time.Time, s *wire.SubmitWork) error {
-	if known := g.jobs[s.Job]; known != nil {
-		if known.Queue != s.Queue || !proto.Equal(known.Spec, s.Spec) {
+	if existing := g.jobs[s.Job]; existing != nil {
+		if existing.Queue != s.Queue || !proto.Equal(existing.Spec, s.Spec) {
 			return ErrContentMismatch
 		}
 		return nil
@@ -196,23 +196,23 @@
 		return ErrUnknownAgent
 	}
 	defer g.notifyAgentChange(r.Id)
-	known := g.agents[r.Id]
-	if known == nil {
+	existing := g.agents[r.Id]
+	if existing == nil {
 		g.agents[r.Id] = &Agent{Record: r, Tasks: map[*Task]bool{}}
 		g.notifyChange()
 		return nil
 	}
-	if known.Record.Incarnation != 0 && r.Incarnation != known.Record.Incarnation {
+	if existing.Record.Incarnation != 0 && r.Incarnation != existing.Record.Incarnation {
 		// Two incarnations of the agent reported before either was committed. The
 		// registered runs belong to the first.
 		return ErrIncarnationMismatch
 	}
-	if known.Record.Leaving && !r.Leaving {
+	if existing.Record.Leaving && !r.Leaving {
 		// The command's record may still be serialized for other replicas.
 		r = proto.Clone(r).(*wire.Agent)
 		r.Leaving = true
 	}
-	known.Record = r
+	existing.Record = r
 	g.notifyChange()
 	return nil
 }
--- a/internal/store/graph/job.go
+++ b/internal/store/graph/job.go
@@ -9,7 +9,7 @@
 )
 
 type (
-	// Job is one accepted job.
+	// Job is an accepted job and its stages.
 	Job struct {
 		ID          string
 		Queue, Pool string
@@ -48,7 +48,7 @@
 		Unplaced int
 	}
 
-	// Task is one task of a stage.
+	// Task is a task of a stage and its latest run.
 	Task struct {
 		Stage    *Stage
 		Index    uint32
@@ -168,7 +168,7 @@
 	return most
 }
 
-// build makes the stages that a job's spec describes.
+// buildStages builds the stages that the job's specification describes.
 func (j *Job) buildStages() {
 	occurrences := max(j.Spec.Occurrences, 1)
 	for k := range occurrences {
@@ -213,12 +213,12 @@
 // distinct returns the numbers without duplicates.
 func distinct(numbers []uint32) []uint32 {
 	seen := map[uint32]bool{}
-	var kept []uint32
+	var unique []uint32
 	for _, n := range numbers {
 		if !seen[n] {
 			seen[n] = true
-			kept = append(kept, n)
+			unique = append(unique, n)
 		}
 	}
-	return kept
+	return unique
 }
