--- a/internal/sched/plan/health.go
+++ b/internal/sched/plan/health.go
@@ -1,5 +1,4 @@
-// This file defines how workers that fail everything are told from jobs that
-// fail everywhere.
+// This file defines how faulty workers are distinguished from jobs that fail on any worker.
 
 package plan
 
@@ -11,39 +10,39 @@
 )
 
 const (
-	// quarantineFailures is how many different jobs a worker must fail in a
-	// row, with no success between, to be put aside.
+	// quarantineFailures is the number of different jobs that a worker must fail in a row
+	// to be quarantined.
 	quarantineFailures = 3
 )
 
 type (
-	// kindRecord counts how a job kind's attempts ended, over all workers.
-	kindRecord struct {
+	// kindStats counts the ended attempts of a job kind over all workers.
+	kindStats struct {
 		finished, failed float64
 	}
 
-	// streak is a worker's failures since its last success.
-	streak struct {
+	// failureStreak holds the jobs that failed on a worker since its last success.
+	failureStreak struct {
 		jobs map[string]bool
-		// expected is how many of them their job kinds would have failed on
-		// any worker.
-		expected float64
+		// expectedFailures is the number of them expected to fail on any worker.
+		expectedFailures float64
 	}
 
+	// health tracks the failures of workers and job kinds.
 	health struct {
-		kinds   map[string]*kindRecord
-		streaks map[string]*streak
-		// failedOn holds the workers that a queued job failed on.
+		kinds   map[string]*kindStats
+		streaks map[string]*failureStreak
+		// failedOn holds the workers on which a job's earlier attempts failed, by job.
 		failedOn map[string]map[string]bool
 	}
 )
 
 func newHealth() *health {
-	return &health{kinds: map[string]*kindRecord{}, streaks: map[string]*streak{}, failedOn: map[string]map[string]bool{}}
+	return &health{kinds: map[string]*kindStats{}, streaks: map[string]*failureStreak{}, failedOn: map[string]map[string]bool{}}
 }
 
-// failureRate is the part of a kind's attempts that fail, leaning to 10% while
-// little is known.
+// failureRate returns the estimated share of a kind's attempts that fail. The estimate
+// starts at 10%.
 func (h *health) failureRate(kind string) float64 {
 	k := h.kinds[kind]
 	if k == nil {
@@ -52,49 +51,49 @@
 	return (k.failed + 0.5) / (k.failed + k.finished + 5)
 }
 
-func (h *health) finished(worker, kind, job string) {
-	h.kindOf(kind).finished++
+func (h *health) recordFinished(worker, kind, job string) {
+	h.statsOf(kind).finished++
 	delete(h.streaks, worker)
 	delete(h.failedOn, job)
 }
 
-// failed notes a failure and tells whether the worker's streak is beyond what
-// its job kinds explain.
-func (h *health) failed(worker, kind, job string) bool {
+// recordFailed records a failed attempt and reports whether the worker has failed more
+// jobs in a row than their kinds' failure rates explain.
+func (h *health) recordFailed(worker, kind, job string) bool {
 	s := h.streaks[worker]
 	if s == nil {
-		s = &streak{jobs: map[string]bool{}}
+		s = &failureStreak{jobs: map[string]bool{}}
 		h.streaks[worker] = s
 	}
 	if !s.jobs[job] {
-		s.expected += h.failureRate(kind)
+		s.expectedFailures += h.failureRate(kind)
 	}
 	s.jobs[job] = true
-	h.kindOf(kind).failed++
+	h.statsOf(kind).failed++
 	if h.failedOn[job] == nil {
 		h.failedOn[job] = map[string]bool{}
 	}
 	h.failedOn[job][worker] = true
-	return len(s.jobs) >= quarantineFailures && float64(len(s.jobs)) > 2*s.expected
+	return len(s.jobs) >= quarantineFailures && float64(len(s.jobs)) > 2*s.expectedFailures
 }
 
-func (h *health) kindOf(kind string) *kindRecord {
+func (h *health) statsOf(kind string) *kindStats {
 	k := h.kinds[kind]
 	if k == nil {
-		k = &kindRecord{}
+		k = &kindStats{}
 		h.kinds[kind] = k
 	}
 	return k
 }
 
-func (p *Planner) noteEnd(worker string, j *wire.Job, t *wire.TaskReport) {
+func (p *Planner) recordCompletion(worker string, j *wire.Job, t *wire.TaskReport) {
 	kind := j.Spec.ClientAccount + "/" + j.Spec.JobKind
 	switch t.State {
 	case wire.TaskState_TASK_STATE_FINISHED:
-		p.health.finished(worker, kind, j.JobId)
+		p.health.recordFinished(worker, kind, j.JobId)
 	case wire.TaskState_TASK_STATE_FAILED:
-		if p.health.failed(worker, kind, j.JobId) {
-			p.quarantine(worker)
+		if p.health.recordFailed(worker, kind, j.JobId) {
+			p.proposeQuarantine(worker)
 		}
 		if state.Ended(j) {
 			delete(p.health.failedOn, j.JobId)
@@ -103,9 +102,9 @@
 	}
 }
 
-func (p *Planner) quarantine(worker string) {
-	known := p.options.Machine.Worker(worker)
-	if known == nil || known.Quarantine != "" {
+func (p *Planner) proposeQuarantine(worker string) {
+	registered := p.options.Machine.Worker(worker)
+	if registered == nil || registered.Quarantine != "" {
 		return
 	}
 	reason := fmt.Sprintf("failed %d jobs in a row", len(p.health.streaks[worker].jobs))
--- a/internal/sched/plan/planner.go
+++ b/internal/sched/plan/planner.go
@@ -1,11 +1,11 @@
-// This file defines Planner, its options and its turn.
+// This file defines Planner, its options and its tick.
 
-// Package plan decides at the control leader what runs where: it hears
-// workers, grants leases, places queued jobs, moves evicted and lost ones,
-// and puts workers that fail everything aside.
+// Package plan schedules jobs at the control leader: it handles worker reports, grants
+// leases, places queued jobs, re-places jobs that were evicted or lost their worker, and
+// quarantines workers that fail every job.
 //
-// A Planner lives on the control loop and holds soft state only. All that must
-// survive is proposed as commands, and the replicated state checks each.
+// A Planner runs on the control loop and holds soft state only. Whatever must survive a
+// change of leader is proposed as a command, which the replicated state validates.
 package plan
 
 import (
@@ -20,19 +20,19 @@
 )
 
 const (
-	// lossInterval is how often all workers are looked at for lost leases.
-	lossInterval = 100 * time.Millisecond
-	// sweepInterval is how often the state forgets what is old.
+	// lossCheckInterval is the interval at which workers are checked for expired leases.
+	lossCheckInterval = 100 * time.Millisecond
+	// sweepInterval is the interval at which old records are removed from the state.
 	sweepInterval = time.Minute
-	// placeInterval gathers what becomes due into one pass.
-	placeInterval = 2 * time.Millisecond
-	// placeRest is how many times as long as it took a pass is followed by
-	// rest, so that placement leaves the loop to commits and heartbeats
-	// however many workers there are.
-	placeRest = 3
-	// retryInterval brings back passes that found no room, since back-offs
-	// run out by time alone.
-	retryInterval = 250 * time.Millisecond
+	// minPassInterval batches changes into one scheduling pass.
+	minPassInterval = 2 * time.Millisecond
+	// passRestFactor is the pause between passes as a multiple of the last pass's
+	// duration. It leaves the loop free for commits and heartbeats, whatever the number
+	// of workers.
+	passRestFactor = 3
+	// passRetryInterval is the interval of passes without changes: the end of a job's
+	// back-off changes nothing by itself.
+	passRetryInterval = 250 * time.Millisecond
 )
 
 var (
@@ -48,63 +48,64 @@
 )
 
 type (
-	// Options connect a Planner to the replica it runs beside.
+	// Options connect a Planner to the control replica that it runs on.
 	Options struct {
 		Machine *state.Machine
-		// Lease is how long a worker may run on without hearing from the
-		// leader; Overlap how long an earlier leader may have gone on
-		// granting, an election timeout.
+		// Lease is how long a worker may run tasks without an answer from the leader.
+		// Overlap is how long an earlier leader may still have granted leases after a new
+		// one was elected: the election timeout.
 		Lease, Overlap time.Duration
 		Propose        func(*wire.Command, func(state.Result, error))
-		// Leads tells whether and since when this replica leads.
+		// IsLeader reports whether this replica is the leader, and since when.
 		IsLeader func() (since time.Time, ok bool)
-		// Confirmed is the last moment at which it surely led.
+		// ConfirmedAt returns the last time at which a quorum confirmed its leadership.
 		ConfirmedAt func() time.Time
-		// Term is the leader's term, by which workers know old answers.
+		// Term returns the leader's term, by which workers reject answers of old leaders.
 		Term func() uint64
-		// Score ranks a worker for a job, higher is better. Spread is used
-		// when nil.
+		// Score ranks a worker for a job; higher is better. The default is Spread.
 		Score  func(Candidate) float64
 		Logger *slog.Logger
 	}
 
-	// attendance is what is known of a worker from its reports.
-	attendance struct {
+	// workerSession holds the latest report of a worker's incarnation.
+	workerSession struct {
 		report *wire.AttendRequest
 		reply  func(*wire.WorkerAnswer)
-		// registering is set while a registration or loss is proposed.
+		// registering is set while a registration is proposed.
 		registering bool
-		ending      map[string]uint32
+		// proposedCompletions are the attempts whose completion is proposed, by job.
+		proposedCompletions map[string]uint32
 	}
 
+	// pendingPlacement is a placement that is proposed but not committed.
 	pendingPlacement struct {
 		worker  string
 		account string
 		need    state.Resources
 	}
 
-	// Planner decides for one control replica while it leads.
+	// Planner schedules jobs on one control replica while it is the leader.
 	Planner struct {
-		options Options
-		since   time.Time
-		leases  *lease.Table
-		workers map[string]*attendance
-		pending map[string]pendingPlacement
-		// taken and claimed are the sums of pending, by worker and account.
-		taken, claimed map[string]state.Resources
-		evicting       map[string]uint32
-		losing         map[string]bool
-		health         *health
-
-		dirty    bool
-		passTook time.Duration
-		// cursor is where the last choice among workers began.
-		cursor                         int
-		lastLoss, lastSweep, lastPlace time.Time
+		options     Options
+		leaderSince time.Time
+		leases      *lease.Table
+		sessions    map[string]*workerSession
+		pending     map[string]pendingPlacement
+		// assumedByWorker and assumedByAccount are the sums of the resources in pending.
+		assumedByWorker, assumedByAccount map[string]state.Resources
+		evicting                          map[string]uint32 // attempts being evicted, by job
+		losing                            map[string]bool   // workers whose loss is proposed
+		health                            *health
+
+		dirty            bool // a pass is needed
+		lastPassDuration time.Duration
+		// cursor is the index of the first worker considered for the last job.
+		cursor                             int
+		lastLossCheck, lastSweep, lastPass time.Time
 	}
 )
 
-// New returns a planner for a replica that doesn't lead yet.
+// New returns a planner for a replica that isn't the leader yet.
 func New(options Options) *Planner {
 	if options.Score == nil {
 		options.Score = Spread
@@ -115,84 +116,85 @@
 }
 
 func (p *Planner) reset(since time.Time) {
-	p.since = since
+	p.leaderSince = since
 	p.leases = lease.NewTable(since, p.options.Lease, p.options.Overlap)
-	p.workers = map[string]*attendance{}
+	p.sessions = map[string]*workerSession{}
 	p.pending = map[string]pendingPlacement{}
-	p.taken, p.claimed = map[string]state.Resources{}, map[string]state.Resources{}
+	p.assumedByWorker, p.assumedByAccount = map[string]state.Resources{}, map[string]state.Resources{}
 	p.evicting, p.losing = map[string]uint32{}, map[string]bool{}
 	p.health = newHealth()
 	p.dirty = true
 }
 
-// Turn does what is due. It is called on the control loop, often.
+// Tick does the work that is due. The control loop calls it in each iteration.
 func (p *Planner) Tick(now time.Time) {
-	if !p.leading() {
+	if !p.checkLeadership() {
 		return
 	}
-	if now.Sub(p.lastLoss) >= lossInterval {
-		p.lastLoss = now
+	if now.Sub(p.lastLossCheck) >= lossCheckInterval {
+		p.lastLossCheck = now
 		p.declareLost(now)
 	}
 	if now.Sub(p.lastSweep) >= sweepInterval {
 		p.lastSweep = now
 		p.options.Propose(&wire.Command{Body: &wire.Command_Sweep{Sweep: &wire.Sweep{}}}, func(state.Result, error) {})
 	}
-	waited := now.Sub(p.lastPlace)
-	if (p.dirty && waited >= max(placeInterval, placeRest*p.passTook)) || waited >= retryInterval {
-		p.lastPlace, p.dirty = now, false
+	waited := now.Sub(p.lastPass)
+	if (p.dirty && waited >= max(minPassInterval, passRestFactor*p.lastPassDuration)) || waited >= passRetryInterval {
+		p.lastPass, p.dirty = now, false
 		began := time.Now()
 		p.placePass(now)
-		p.passTook = time.Since(began)
-		placeSeconds.Update(p.passTook.Seconds())
+		p.lastPassDuration = time.Since(began)
+		placeSeconds.Update(p.lastPassDuration.Seconds())
 	}
 }
 
-// leading drops the soft state when leadership was gained anew: what another
-// leader granted or proposed meanwhile isn't in it.
-func (p *Planner) leading() bool {
+// checkLeadership reports whether this replica is the leader. It resets the soft state
+// when the replica was elected again, since another leader may have granted leases or
+// proposed commands in between.
+func (p *Planner) checkLeadership() bool {
 	since, ok := p.options.IsLeader()
 	if !ok {
 		return false
 	}
-	if !since.Equal(p.since) {
+	if !since.Equal(p.leaderSince) {
 		p.reset(since)
 	}
 	return true
 }
 
-// Changed tells that a job was submitted, ended or cancelled.
+// MarkChanged schedules a pass after a job was submitted, ended or cancelled.
 func (p *Planner) MarkChanged() { p.dirty = true }
 
-// Attending tells whether the worker holds a lease.
+// HoldsLease reports whether the worker's incarnation holds a lease.
 func (p *Planner) HoldsLease(worker, incarnation string, now time.Time) bool {
 	return p.leases.Active(worker, incarnation, now)
 }
 
-// declareLost gives up incarnations whose leases have surely run out, so that
-// their jobs can go on elsewhere.
+// declareLost proposes the loss of workers whose leases have certainly expired, so that
+// their jobs can be placed elsewhere.
 func (p *Planner) declareLost(now time.Time) {
 	for id, w := range p.options.Machine.Workers() {
 		incarnation := w.Record.Incarnation
 		if p.losing[id] || !p.leases.Expired(id, incarnation, now) {
 			continue
 		}
-		p.lose(id, incarnation)
+		p.proposeLoss(id, incarnation)
 	}
 }
 
-// lose proposes the loss. From here on this leader grants the incarnation
-// nothing, though the command may take a while to be committed.
-func (p *Planner) lose(id, incarnation string) {
+// proposeLoss proposes the loss of a worker's incarnation. This leader grants it no more
+// leases, even before the command is committed.
+func (p *Planner) proposeLoss(id, incarnation string) {
 	p.losing[id] = true
-	since := p.since
-	a := p.workers[id]
-	replaced := a != nil && a.report.Worker.Incarnation != incarnation
+	since := p.leaderSince
+	session := p.sessions[id]
+	replaced := session != nil && session.report.Worker.Incarnation != incarnation
 	command := &wire.Command{Body: &wire.Command_LoseWorker{LoseWorker: &wire.LoseWorker{
 		WorkerId: id, Incarnation: incarnation, Replaced: replaced,
 	}}}
 	p.options.Propose(command, func(r state.Result, err error) {
-		if !p.since.Equal(since) {
+		if !p.leaderSince.Equal(since) {
 			return
 		}
 		delete(p.losing, id)
@@ -201,8 +203,8 @@
 		}
 		lostTotal.Inc()
 		p.leases.Remove(id)
-		if a := p.workers[id]; a != nil && a.report.Worker.Incarnation == incarnation {
-			delete(p.workers, id)
+		if session := p.sessions[id]; session != nil && session.report.Worker.Incarnation == incarnation {
+			delete(p.sessions, id)
 		}
 		p.options.Logger.Warn("worker lost", "worker", id, "incarnation", incarnation, "replaced", replaced)
 		p.dirty = true
--- a/internal/sched/plan/sim_test.go
+++ b/internal/sched/plan/sim_test.go
@@ -26,9 +26,9 @@
 
 type (
 	simTask struct {
-		order *wire.TaskOrder
-		left  int
-		ended *wire.TaskReport
+		order     *wire.TaskOrder
+		remaining int
+		ended     *wire.TaskReport
 	}
 
 	simWorker struct {
@@ -39,9 +39,9 @@
 		term            uint64
 		tasks           map[string]*simTask
 		frozenUntil     time.Time
-		bad             bool
-		// attached is the leader that the worker's reports reach. It may have
-		// a successor by now.
+		faulty          bool
+		// attached is the leader that receives the worker's reports. It may have been
+		// succeeded by another.
 		attached *simLeader
 	}
 
@@ -56,7 +56,7 @@
 		term    uint64
 	}
 
-	// sim runs planners of successive leaders against workers. Commands are
+	// sim simulates the planners of successive leaders and their workers. Commands are
 	// committed late; messages are late, lost and out of order.
 	sim struct {
 		random  *rand.Rand
@@ -66,15 +66,15 @@
 		queue   []simMessage
 		commits []simCommit
 
-		leaders []*simLeader // the last one leads; earlier ones may think so
-		// crashing are the jobs that end every worker that starts them, crashes how many
-		// each has ended.
-		crashing  map[string]bool
-		crashes   map[string]int
-		ran       map[string]int
-		doing     map[string]string
-		broken    []string
-		evictions int
+		leaders []*simLeader // the last is the leader; earlier ones may not know yet
+		// crashingJobs are the jobs that crash every worker that starts them; crashes is
+		// the number of workers each has crashed.
+		crashingJobs map[string]bool
+		crashes      map[string]int
+		completed    map[string]int
+		runningOn    map[string]string
+		violations   []string
+		evictions    int
 	}
 
 	simLeader struct {
@@ -88,7 +88,7 @@
 func newSim(seed uint64, workers int) *sim {
 	s := &sim{
 		random: rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1000, 0), machine: state.New(state.Options{Retention: time.Hour}),
-		crashing: map[string]bool{}, crashes: map[string]int{}, ran: map[string]int{}, doing: map[string]string{},
+		crashingJobs: map[string]bool{}, crashes: map[string]int{}, completed: map[string]int{}, runningOn: map[string]string{},
 	}
 	need := &wire.Resources{MilliProcessors: 1000, MemoryBytes: 1}
 	s.machine.Apply(&wire.Command{Body: &wire.Command_ApplyConfiguration{ApplyConfiguration: &wire.ApplyConfigurationRequest{
@@ -109,29 +109,29 @@
 	return s
 }
 
-// elect makes a new leader. Those before it may go on for as long as their
-// last confirmed round allows.
+// elect adds a new leader. Earlier leaders may continue for as long as their last confirmed
+// round allows.
 func (s *sim) elect() {
-	l := &simLeader{term: uint64(len(s.leaders) + 1), since: s.now, confirmed: s.now}
-	l.planner = plan.New(plan.Options{
+	leader := &simLeader{term: uint64(len(s.leaders) + 1), since: s.now, confirmed: s.now}
+	leader.planner = plan.New(plan.Options{
 		Machine: s.machine, Lease: simLease, Overlap: simOverlap,
 		Propose: func(c *wire.Command, done func(state.Result, error)) {
-			s.commits = append(s.commits, simCommit{c, done, l.term})
+			s.commits = append(s.commits, simCommit{c, done, leader.term})
 		},
-		IsLeader:    func() (time.Time, bool) { return l.since, true },
-		ConfirmedAt: func() time.Time { return l.confirmed },
-		Term:        func() uint64 { return l.term },
+		IsLeader:    func() (time.Time, bool) { return leader.since, true },
+		ConfirmedAt: func() time.Time { return leader.confirmed },
+		Term:        func() uint64 { return leader.term },
 		Logger:      slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
-	s.leaders = append(s.leaders, l)
+	s.leaders = append(s.leaders, leader)
 }
 
 func (s *sim) leader() *simLeader { return s.leaders[len(s.leaders)-1] }
 
 func (s *sim) chance(p float64) bool { return s.random.Float64() < p }
 
-// post runs f after a random delay, or never.
-func (s *sim) post(f func()) {
+// send runs f after a random delay, or never.
+func (s *sim) send(f func()) {
 	if s.chance(0.03) {
 		return
 	}
@@ -153,17 +153,17 @@
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(simStep) {
 		s.commitSome()
 		s.deliver()
-		l := s.leader()
-		l.confirmed = s.now
-		l.planner.Tick(s.now)
+		leader := s.leader()
+		leader.confirmed = s.now
+		leader.planner.Tick(s.now)
 		for _, w := range s.workers {
-			s.work(w)
+			s.stepWorker(w)
 		}
 	}
 }
 
-// commitSome commits what the leader proposed. An old leader's proposals are
-// lost, and it never hears of them.
+// commitSome commits some of the leader's proposals. Proposals of earlier leaders are lost
+// without a result.
 func (s *sim) commitSome() {
 	pending := s.commits
 	s.commits = nil
@@ -195,7 +195,7 @@
 	}
 }
 
-func (s *sim) work(w *simWorker) {
+func (s *sim) stepWorker(w *simWorker) {
 	if s.now.Before(w.frozenUntil) {
 		return
 	}
@@ -204,7 +204,7 @@
 		return
 	}
 	if !s.now.Before(w.leaseEnd) {
-		s.drop(w)
+		s.dropTasks(w)
 	}
 	if s.chance(0.0003) {
 		s.restart(w)
@@ -217,9 +217,9 @@
 	}
 }
 
-// restart ends a worker's process with all that runs there, and starts the next one.
+// restart ends a worker's process with its tasks, and starts the next incarnation.
 func (s *sim) restart(w *simWorker) {
-	s.drop(w)
+	s.dropTasks(w)
 	clear(w.tasks)
 	w.incarnation, w.sequence, w.leaseEnd = w.incarnation+"x", 0, time.Time{}
 }
@@ -233,19 +233,19 @@
 	return ids
 }
 
-// drop is what a worker does without a lease.
-func (s *sim) drop(w *simWorker) {
+// dropTasks ends the tasks of a worker whose lease has expired.
+func (s *sim) dropTasks(w *simWorker) {
 	for _, id := range sortedTasks(w) {
 		if w.tasks[id].ended == nil {
-			s.leave(w, id)
+			s.clearRunning(w, id)
 			delete(w.tasks, id)
 		}
 	}
 }
 
-func (s *sim) leave(w *simWorker, id string) {
-	if s.doing[id] == w.id {
-		delete(s.doing, id)
+func (s *sim) clearRunning(w *simWorker, id string) {
+	if s.runningOn[id] == w.id {
+		delete(s.runningOn, id)
 	}
 }
 
@@ -253,18 +253,18 @@
 	if t.ended != nil {
 		return
 	}
-	t.left--
-	if t.left > 0 {
+	t.remaining--
+	if t.remaining > 0 {
 		return
 	}
 	end := wire.TaskState_TASK_STATE_FINISHED
-	if w.bad {
+	if w.faulty {
 		end = wire.TaskState_TASK_STATE_FAILED
 	} else {
-		s.ran[id]++
+		s.completed[id]++
 	}
 	t.ended = &wire.TaskReport{JobId: id, Attempt: t.order.Attempt, State: end}
-	s.leave(w, id)
+	s.clearRunning(w, id)
 }
 
 func (s *sim) report(w *simWorker) {
@@ -285,14 +285,14 @@
 		w.attached = s.leader()
 	}
 	to := w.attached
-	s.post(func() {
-		to.planner.HandleReport(s.now, r, func(a *wire.WorkerAnswer) { s.post(func() { s.hear(w, a) }) })
+	s.send(func() {
+		to.planner.HandleReport(s.now, r, func(a *wire.WorkerAnswer) { s.send(func() { s.handleAnswer(w, a) }) })
 	})
 }
 
-func (s *sim) hear(w *simWorker, a *wire.WorkerAnswer) {
+func (s *sim) handleAnswer(w *simWorker, a *wire.WorkerAnswer) {
 	if s.now.Before(w.frozenUntil) {
-		s.queue = append(s.queue, simMessage{w.frozenUntil, func() { s.hear(w, a) }})
+		s.queue = append(s.queue, simMessage{w.frozenUntil, func() { s.handleAnswer(w, a) }})
 		return
 	}
 	if a.Incarnation != w.incarnation || a.Answer.Term < w.term {
@@ -307,12 +307,12 @@
 		w.leaseEnd = validUntil
 	}
 	for _, o := range a.Answer.Orders {
-		s.obey(w, o, validUntil)
+		s.execute(w, o, validUntil)
 	}
 }
 
-// holdsLease tells whether a worker may run tasks now. One that is frozen past
-// its lease runs nothing, and drops its tasks before anything else once thawed.
+// holdsLease reports whether a worker may run tasks now. A worker frozen past its lease
+// runs nothing, and drops its tasks first when it resumes.
 func (s *sim) holdsLease(id string) bool {
 	for _, w := range s.workers {
 		if w.id == id {
@@ -322,32 +322,32 @@
 	return false
 }
 
-func (s *sim) obey(w *simWorker, o *wire.TaskOrder, validUntil time.Time) {
+func (s *sim) execute(w *simWorker, o *wire.TaskOrder, validUntil time.Time) {
 	t := w.tasks[o.JobId]
 	switch o.Kind {
 	case wire.OrderKind_ORDER_KIND_START:
 		if (t != nil && t.order.Attempt >= o.Attempt) || !s.now.Before(validUntil) {
 			return
 		}
-		if other, busy := s.doing[o.JobId]; busy && other != w.id && s.holdsLease(other) {
-			s.broken = append(s.broken, fmt.Sprintf("%v: job %s starts on %s while it runs on %s", s.now.Sub(time.Unix(1000, 0)), o.JobId, w.id, other))
+		if other, busy := s.runningOn[o.JobId]; busy && other != w.id && s.holdsLease(other) {
+			s.violations = append(s.violations, fmt.Sprintf("%v: job %s starts on %s while it runs on %s", s.now.Sub(time.Unix(1000, 0)), o.JobId, w.id, other))
 		}
-		if s.crashing[o.JobId] {
+		if s.crashingJobs[o.JobId] {
 			s.crashes[o.JobId]++
 			s.restart(w)
 			return
 		}
-		s.doing[o.JobId] = w.id
-		w.tasks[o.JobId] = &simTask{order: o, left: 5 + s.random.IntN(60)}
+		s.runningOn[o.JobId] = w.id
+		w.tasks[o.JobId] = &simTask{order: o, remaining: 5 + s.random.IntN(60)}
 	case wire.OrderKind_ORDER_KIND_STOP:
 		if t != nil && t.order.Attempt == o.Attempt && t.ended == nil {
 			t.ended = &wire.TaskReport{JobId: o.JobId, Attempt: o.Attempt, State: wire.TaskState_TASK_STATE_STOPPED}
 			s.evictions++
-			s.leave(w, o.JobId)
+			s.clearRunning(w, o.JobId)
 		}
 	case wire.OrderKind_ORDER_KIND_FORGET:
 		if t != nil && t.order.Attempt <= o.Attempt {
-			s.leave(w, o.JobId)
+			s.clearRunning(w, o.JobId)
 			delete(w.tasks, o.JobId)
 		}
 	default:
--- a/internal/store/graph/apply.go
+++ b/internal/store/graph/apply.go
@@ -1,4 +1,4 @@
-// This file defines Apply and the commands about the catalog, jobs and agents.
+// This file defines Apply and the commands for the catalog, jobs and agents.
 
 package graph
 
@@ -11,26 +11,26 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// Why a command changes nothing.
+// Errors of commands that change nothing.
 var (
 	ErrUnknownQueue        = errors.New("no such queue")
 	ErrUnknownJob          = errors.New("no such job")
 	ErrUnknownAgent        = errors.New("no such agent")
-	ErrContentMismatch     = errors.New("the id names a job with other content")
-	ErrSuperseded          = errors.New("the run isn't the task's present one")
-	ErrNotReady            = errors.New("the task isn't to be placed")
-	ErrIncarnationMismatch = errors.New("another incarnation is registered under the id")
+	ErrContentMismatch     = errors.New("a job with this id and other content exists")
+	ErrSuperseded          = errors.New("the run isn't newer than the task's latest run")
+	ErrNotReady            = errors.New("the task isn't ready to be placed")
+	ErrIncarnationMismatch = errors.New("another incarnation of the agent is registered")
 	ErrAgentLeaving        = errors.New("the agent is leaving")
 )
 
-// Result is what a command came to.
+// Result is the outcome of a command.
 type Result struct {
 	Err error
-	// Placed tells for each placement whether it holds.
+	// PlacementErrors has an entry for each placement; nil if it was accepted.
 	PlacementErrors []error
 }
 
-// Apply carries out one committed command, at the time that it bears.
+// Apply applies one committed command. At is the time recorded with the command.
 func (g *Graph) Apply(at time.Time, c *wire.WorkCommand) Result {
 	switch body := c.GetBody().(type) {
 	case *wire.WorkCommand_PutCatalog:
@@ -42,59 +42,59 @@
 	case *wire.WorkCommand_PutAgent:
 		return Result{Err: g.putAgent(body.PutAgent)}
 	case *wire.WorkCommand_DropAgent:
-		return Result{Err: g.dropAgent(at, body.DropAgent)}
+		return Result{Err: g.removeAgent(at, body.DropAgent)}
 	case *wire.WorkCommand_Place:
-		return g.place(body.Place)
+		return g.placeRuns(body.Place)
 	case *wire.WorkCommand_End:
 		for _, e := range body.End.Ends {
-			g.end(at, e)
+			g.endRun(at, e)
 		}
 		return Result{}
 	case *wire.WorkCommand_Learned:
-		g.learned = body.Learned
+		g.estimates = body.Learned
 		return Result{}
 	case *wire.WorkCommand_DrainDomain:
-		return Result{Err: g.drain(at, body.DrainDomain)}
+		return Result{Err: g.setDrained(at, body.DrainDomain)}
 	case *wire.WorkCommand_SilentAgents:
-		g.noteSilence(body.SilentAgents.Agents)
+		g.setLeaseExpiries(body.SilentAgents.Agents)
 		return Result{}
 	case *wire.WorkCommand_Forget:
-		g.forget(body.Forget.EndedBefore.AsTime())
+		g.removeExpired(body.Forget.EndedBefore.AsTime())
 		return Result{}
 	default:
 		return Result{}
 	}
 }
 
-// putCatalog replaces the catalog by one of a higher version. Another one is
-// a late or repeated send and changes nothing, which is no error.
+// putCatalog replaces the catalog by one of a higher version. Any other version is a late
+// or repeated command and is ignored without an error.
 func (g *Graph) putCatalog(c *wire.Catalog) Result {
 	if c.Version <= g.catalog.Version {
 		return Result{}
 	}
 	g.setCatalog(c)
-	g.changed()
+	g.notifyChange()
 	return Result{}
 }
 
 func (g *Graph) setCatalog(c *wire.Catalog) {
 	g.catalog = c
 	clear(g.queues)
-	clear(g.byHost)
+	clear(g.queuesByHost)
 	clear(g.pools)
 	for _, q := range c.Queues {
 		g.queues[q.Name] = q
-		g.byHost[q.Host] = append(g.byHost[q.Host], q)
+		g.queuesByHost[q.Host] = append(g.queuesByHost[q.Host], q)
 	}
 	for _, p := range c.Pools {
 		g.pools[p.Name] = p
 	}
 }
 
-// submit accepts a job. The same id with the same content is the same job.
+// submit accepts a job. It is idempotent: the same id with the same content is the same job.
 func (g *Graph) submit(at time.Time, s *wire.SubmitWork) error {
-	if known := g.jobs[s.Job]; known != nil {
-		if known.Queue != s.Queue || !proto.Equal(known.Spec, s.Spec) {
+	if existing := g.jobs[s.Job]; existing != nil {
+		if existing.Queue != s.Queue || !proto.Equal(existing.Spec, s.Spec) {
 			return ErrContentMismatch
 		}
 		return nil
@@ -108,144 +108,144 @@
 		ID: s.Job, Queue: s.Queue, Pool: q.Pool, Spec: s.Spec,
 		State: wire.WorkState_WORK_STATE_QUEUED, AcceptedAt: at, Sequence: g.sequence,
 	}
-	j.build()
+	j.buildStages()
 	g.addJob(j)
-	g.changed()
+	g.notifyChange()
 	return nil
 }
 
 func (g *Graph) addJob(j *Job) {
 	g.jobs[j.ID] = j
-	if !j.begun && !j.Ended() {
-		g.pending[j.Queue]++
+	if !j.started && !j.Ended() {
+		g.pendingJobs[j.Queue]++
 	}
 	for _, stages := range j.Occurrences {
 		for _, s := range stages {
-			g.noteReady(s)
+			g.updateReady(s)
 		}
 	}
 }
 
-// noteReady keeps the set of ready stages true for one stage.
-func (g *Graph) noteReady(s *Stage) {
+// updateReady updates the membership of a stage in the set of ready stages.
+func (g *Graph) updateReady(s *Stage) {
 	if !s.Ready() {
-		delete(g.ready, s)
+		delete(g.readyStages, s)
 		return
 	}
-	if !g.ready[s] && g.OnStageReady != nil {
+	if !g.readyStages[s] && g.OnStageReady != nil {
 		g.OnStageReady(s)
 	}
-	g.ready[s] = true
+	g.readyStages[s] = true
 }
 
-func (g *Graph) begin(j *Job) {
-	if j.begun {
+func (g *Graph) markStarted(j *Job) {
+	if j.started {
 		return
 	}
-	j.begun = true
-	g.pending[j.Queue]--
+	j.started = true
+	g.pendingJobs[j.Queue]--
 	if !j.Ended() {
 		j.State = wire.WorkState_WORK_STATE_RUNNING
 	}
 }
 
-// cancel ends a job. Its runs are stopped by the leader.
+// cancel ends a job. The leader stops its runs.
 func (g *Graph) cancel(at time.Time, c *wire.CancelWork) error {
 	j := g.jobs[c.Job]
 	if j == nil || j.Queue != c.Queue {
 		return ErrUnknownJob
 	}
-	g.finish(at, j, wire.WorkState_WORK_STATE_CANCELLED)
+	g.finishJob(at, j, wire.WorkState_WORK_STATE_CANCELLED)
 	return nil
 }
 
-func (g *Graph) finish(at time.Time, j *Job, state wire.WorkState) {
+func (g *Graph) finishJob(at time.Time, j *Job, state wire.WorkState) {
 	if j.Ended() {
 		return
 	}
-	if !j.begun {
-		g.pending[j.Queue]--
-		j.begun = true
+	if !j.started {
+		g.pendingJobs[j.Queue]--
+		j.started = true
 	}
 	j.State, j.EndedAt = state, at
 	for _, stages := range j.Occurrences {
 		for _, s := range stages {
-			delete(g.ready, s)
-			g.touchRuns(s)
+			delete(g.readyStages, s)
+			g.notifyRunAgents(s)
 		}
 	}
 	if g.OnJobFinished != nil {
 		g.OnJobFinished(j)
 	}
-	j.thin()
-	g.changed()
+	j.compact()
+	g.notifyChange()
 }
 
-// touchRuns touches the agents on which runs of a stage may exist: they are to be
-// stopped.
-func (g *Graph) touchRuns(s *Stage) {
+// notifyRunAgents reports a change of the agents on which runs of a stage may exist, so
+// that the runs are stopped.
+func (g *Graph) notifyRunAgents(s *Stage) {
 	for _, t := range s.Tasks {
-		g.touch(t.Agent)
+		g.notifyAgentChange(t.Agent)
 	}
 }
 
-// putAgent registers an agent or renews what is known of it. Leaving is for
-// good: a report that says otherwise is an older one.
+// putAgent registers an agent or updates its record. An agent that is leaving stays so: a
+// report without it is an older one.
 func (g *Graph) putAgent(r *wire.Agent) error {
 	if g.AgentRemoved(r.Id) {
 		return ErrUnknownAgent
 	}
-	defer g.touch(r.Id)
-	known := g.agents[r.Id]
-	if known == nil {
+	defer g.notifyAgentChange(r.Id)
+	existing := g.agents[r.Id]
+	if existing == nil {
 		g.agents[r.Id] = &Agent{Record: r, Tasks: map[*Task]bool{}}
-		g.changed()
+		g.notifyChange()
 		return nil
 	}
-	if known.Record.Incarnation != 0 && r.Incarnation != known.Record.Incarnation {
-		// Two processes of the agent reported before either was committed. The runs here
-		// are the first one's.
+	if existing.Record.Incarnation != 0 && r.Incarnation != existing.Record.Incarnation {
+		// Two incarnations of the agent reported before either was committed. The
+		// registered runs belong to the first.
 		return ErrIncarnationMismatch
 	}
-	if known.Record.Leaving && !r.Leaving {
-		// The command may be on its way to other replicas yet.
+	if existing.Record.Leaving && !r.Leaving {
+		// The command's record may still be serialized for other replicas.
 		r = proto.Clone(r).(*wire.Agent)
 		r.Leaving = true
 	}
-	known.Record = r
-	g.changed()
+	existing.Record = r
+	g.notifyChange()
 	return nil
 }
 
-// dropAgent forgets an agent that is surely gone, and with it all that ran
-// there.
-func (g *Graph) dropAgent(at time.Time, d *wire.DropAgent) error {
-	r := g.agents[d.Id]
-	if r == nil {
+// removeAgent removes an agent that has certainly ended, and releases its runs.
+func (g *Graph) removeAgent(at time.Time, d *wire.DropAgent) error {
+	agent := g.agents[d.Id]
+	if agent == nil {
 		return ErrUnknownAgent
 	}
-	for _, t := range sortedTasks(r.Tasks) {
-		g.release(t)
+	for _, t := range sortedTasks(agent.Tasks) {
+		g.releaseRun(t)
 	}
 	delete(g.agents, d.Id)
-	g.dropped[d.Id] = at
-	g.touch(d.Id)
-	g.changed()
+	g.removedAgents[d.Id] = at
+	g.notifyAgentChange(d.Id)
+	g.notifyChange()
 	return nil
 }
 
-func (g *Graph) forget(endedBefore time.Time) {
+// removeExpired removes ended jobs and the ids of removed agents after their retention.
+func (g *Graph) removeExpired(endedBefore time.Time) {
 	for id, j := range g.jobs {
-		if j.Ended() && j.EndedAt.Before(endedBefore) && !j.mayRun() {
+		if j.Ended() && j.EndedAt.Before(endedBefore) && !j.mayHaveRuns() {
 			delete(g.jobs, id)
 		}
 	}
-	for id, at := range g.dropped {
+	for id, at := range g.removedAgents {
 		if at.Before(endedBefore) {
-			delete(g.dropped, id)
+			delete(g.removedAgents, id)
 		}
 	}
 }
 
-// mayRun tells whether a run of the job may still exist somewhere.
-func (j *Job) mayRun() bool { return j.placed > 0 }
+// mayHaveRuns reports whether a run of the job may still exist.
+func (j *Job) mayHaveRuns() bool { return j.activeRuns > 0 }
--- a/internal/store/graph/image.go
+++ b/internal/store/graph/image.go
@@ -1,4 +1,4 @@
-// This file defines how the state is saved and loaded.
+// This file defines how the state is saved to and loaded from snapshots.
 
 package graph
 
@@ -14,28 +14,28 @@
 // Save returns the state for a snapshot. It shares records with the state and
 // must be serialized before the next Apply.
 func (g *Graph) Save() *wire.WorkImage {
-	image := &wire.WorkImage{Catalog: g.catalog, NextSequence: g.sequence, Learned: g.learned, Dropped: map[string]*timestamppb.Timestamp{}}
+	image := &wire.WorkImage{Catalog: g.catalog, NextSequence: g.sequence, Learned: g.estimates, Dropped: map[string]*timestamppb.Timestamp{}}
 	for _, j := range g.Jobs() {
 		image.Jobs = append(image.Jobs, saveJob(j))
 	}
-	for _, r := range g.agents {
-		image.Agents = append(image.Agents, r.Record)
+	for _, agent := range g.agents {
+		image.Agents = append(image.Agents, agent.Record)
 	}
 	sort.Slice(image.Agents, func(i, k int) bool { return image.Agents[i].Id < image.Agents[k].Id })
-	for id, at := range g.dropped {
+	for id, at := range g.removedAgents {
 		image.Dropped[id] = timestamppb.New(at)
 	}
 	g.drains.save(image)
-	image.SilentAgents = g.saveSilence()
+	image.SilentAgents = g.saveLeaseExpiries()
 	return image
 }
 
-// Record returns a job with its tasks that were placed. It shares the spec with the
+// Record returns the job with all its tasks that were placed. It shares the spec with the
 // state.
 func (j *Job) Record() *wire.WorkJob {
 	record := saveJob(j)
-	for _, sum := range record.EndedStages {
-		record.Tasks = append(record.Tasks, endedTasks(sum)...)
+	for _, summary := range record.EndedStages {
+		record.Tasks = append(record.Tasks, tasksFromSummary(summary)...)
 	}
 	record.EndedStages = nil
 	return record
@@ -51,8 +51,8 @@
 	}
 	for _, stages := range j.Occurrences {
 		for _, s := range stages {
-			if s.ended != nil {
-				saved.EndedStages = append(saved.EndedStages, s.ended)
+			if s.summary != nil {
+				saved.EndedStages = append(saved.EndedStages, s.summary)
 			}
 			for _, t := range s.Tasks {
 				if t.Run == 0 && !t.Done {
@@ -69,7 +69,7 @@
 	return saved
 }
 
-// Load replaces the state by a saved one.
+// Load replaces the state by a saved one; nil is the empty state.
 func (g *Graph) Load(image *wire.WorkImage) {
 	g.reset()
 	if image == nil {
@@ -79,34 +79,34 @@
 		g.setCatalog(image.Catalog)
 	}
 	g.sequence = image.NextSequence
-	g.learned = image.Learned
+	g.estimates = image.Learned
 	g.drains.load(image)
-	for _, r := range image.Agents {
-		g.agents[r.Id] = &Agent{Record: r, Tasks: map[*Task]bool{}}
+	for _, record := range image.Agents {
+		g.agents[record.Id] = &Agent{Record: record, Tasks: map[*Task]bool{}}
 	}
-	g.noteSilence(image.SilentAgents)
+	g.setLeaseExpiries(image.SilentAgents)
 	for id, at := range image.Dropped {
-		g.dropped[id] = at.AsTime()
+		g.removedAgents[id] = at.AsTime()
 	}
 	for _, saved := range image.Jobs {
 		g.loadJob(saved)
 	}
-	g.changed()
+	g.notifyChange()
 }
 
 func (g *Graph) loadJob(saved *wire.WorkJob) {
 	j := &Job{
 		ID: saved.Id, Queue: saved.Queue, Pool: saved.Pool, Spec: saved.Spec, State: saved.State,
 		AcceptedAt: saved.AcceptedAt.AsTime(), Sequence: saved.Sequence,
-		begun: saved.State != wire.WorkState_WORK_STATE_QUEUED,
+		started: saved.State != wire.WorkState_WORK_STATE_QUEUED,
 	}
 	if saved.EndedAt != nil {
 		j.EndedAt = saved.EndedAt.AsTime()
 	}
-	j.build()
+	j.buildStages()
 	g.jobs[j.ID] = j
-	for _, sum := range saved.EndedStages {
-		for _, task := range endedTasks(sum) {
+	for _, summary := range saved.EndedStages {
+		for _, task := range tasksFromSummary(summary) {
 			g.loadTask(j, task)
 		}
 	}
@@ -115,16 +115,16 @@
 	}
 	for _, stages := range j.Occurrences {
 		for _, s := range stages {
-			if s.done == len(s.Tasks) {
-				j.open--
-				for _, next := range s.next {
-					next.waitsFor--
+			if s.doneTasks == len(s.Tasks) {
+				j.openStages--
+				for _, dependent := range s.dependents {
+					dependent.openDependencies--
 				}
 			}
 		}
 	}
 	g.addJob(j)
-	j.thin()
+	j.compact()
 }
 
 func (g *Graph) loadTask(j *Job, saved *wire.WorkTask) {
@@ -135,20 +135,21 @@
 	if saved.Agent != "" {
 		t.Agent = saved.Agent
 		g.agents[saved.Agent].Tasks[t] = true
-		j.placed++
+		j.activeRuns++
 	}
 	if t.Done {
-		s.done++
+		s.doneTasks++
 	}
 	if t.Done || t.Agent != "" {
 		s.Unplaced--
 	}
 }
 
-// Overdue tells whether a job ended so long ago that it may be forgotten.
+// HasRemovableJobs reports whether a job ended before the given time and has no run that
+// may exist.
 func (g *Graph) HasRemovableJobs(endedBefore time.Time) bool {
 	for _, j := range g.jobs {
-		if j.Ended() && j.EndedAt.Before(endedBefore) && !j.mayRun() {
+		if j.Ended() && j.EndedAt.Before(endedBefore) && !j.mayHaveRuns() {
 			return true
 		}
 	}
