--- /dev/null
+++ b/internal/store/node/iteration.go
@@ -0,0 +1,352 @@
+// This file defines one iteration of the event loop: persist, send, apply, respond.
+
+package node
+
+import (
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"sycamoredeck.example/internal/schema/wire"
+	"sycamoredeck.example/internal/store/quorum"
+	"sycamoredeck.example/internal/store/state"
+)
+
+// maxReadyPerIteration limits how often one iteration handles what its own work made ready.
+const maxReadyPerIteration = 4
+
+func (n *Node) runIteration() {
+	n.appendProposals()
+	n.startReadIndex()
+	for range maxReadyPerIteration {
+		if !n.processReady() {
+			break
+		}
+	}
+	n.recordRounds()
+	n.updateRole()
+	n.completeReads()
+	n.maybeSnapshot()
+	if n.options.AfterIteration != nil && !n.failed {
+		n.options.AfterIteration(n.options.Clock.Now())
+	}
+	if len(n.proposals) > 0 {
+		// AfterIteration proposed them. Wake the loop so that they don't wait for the next tick.
+		select {
+		case n.inbox <- func() {}:
+		default:
+		}
+	}
+}
+
+func (n *Node) appendProposals() {
+	if len(n.proposals) == 0 {
+		return
+	}
+	batch := n.proposals
+	n.proposals = nil
+	commands := make([]*wire.Command, len(batch))
+	for i, p := range batch {
+		commands[i] = p.command
+	}
+	first, ok := n.core.Propose(commands)
+	if !ok {
+		for _, p := range batch {
+			p.done(state.Result{}, ErrNotLeader)
+		}
+		return
+	}
+	term := n.core.Status().Term
+	for i, p := range batch {
+		n.waiters[first+uint64(i)] = waiter{term, p.done}
+	}
+}
+
+// processReady applies committed entries, and persists and sends what the log has ready. It
+// returns false if there was nothing to do or a write to disk was started.
+//
+// Append messages are sent while an earlier Ready is still being persisted, which reduces
+// the latency of a commit. They stop after one heartbeat interval: a leader whose disk
+// hangs must not keep its followers from electing another one.
+func (n *Node) processReady() bool {
+	committed := n.core.NextCommittedEntries()
+	for _, r := range committed {
+		n.applyEntry(r)
+	}
+	if n.persisting {
+		if n.options.BootTime()-n.persistStart < n.options.HeartbeatInterval {
+			n.send(n.core.NextAppends())
+		}
+		return len(committed) > 0
+	}
+	rd := n.core.Ready()
+	n.send(rd.Appends)
+	if rd.Vote == nil && rd.Snapshot == nil && len(rd.Entries) == 0 {
+		n.readyPersisted(rd)
+		return len(rd.Appends)+len(rd.Messages)+len(committed) > 0
+	}
+	n.persistAsync(func() error { return n.persistReady(rd) }, func() { n.readyPersisted(rd) })
+	return false
+}
+
+// readyPersisted completes a Ready after it has been written to disk.
+func (n *Node) readyPersisted(rd quorum.Ready) {
+	n.core.Synced(rd)
+	n.send(rd.Messages)
+	if rd.Snapshot != nil {
+		n.restoreSnapshot(rd.Snapshot)
+	}
+}
+
+// persistAsync runs job, which writes to disk, on another goroutine, and then done on the
+// event loop. At most one job runs at a time. Waiting for each sync on the event loop would
+// block it most of the time under load.
+func (n *Node) persistAsync(job func() error, done func()) {
+	n.persisting, n.persistStart = true, n.options.BootTime()
+	n.writers.Go(func() {
+		err := job()
+		n.Post(func() {
+			n.persisting = false
+			switch {
+			case n.failed:
+			case err != nil:
+				n.fail(err)
+			default:
+				done()
+				n.compactLog()
+			}
+		})
+	})
+}
+
+// compactLog removes the log segments that a snapshot covers once no write is in progress.
+func (n *Node) compactLog() {
+	if n.compactIndex == 0 || n.persisting {
+		return
+	}
+	index := n.compactIndex
+	n.compactIndex = 0
+	n.persistAsync(func() error { return n.log.Compact(index, false) }, func() {})
+}
+
+// persistReady writes a Ready to disk. It doesn't run on the event loop.
+func (n *Node) persistReady(rd quorum.Ready) error {
+	if rd.Vote != nil {
+		if err := n.log.SaveVote(rd.Vote); err != nil {
+			return err
+		}
+	}
+	if rd.Snapshot != nil {
+		if err := n.persistSnapshot(rd.Snapshot); err != nil {
+			return err
+		}
+	}
+	if len(rd.Entries) == 0 {
+		return nil
+	}
+	began := time.Now()
+	err := n.log.Append(rd.Entries)
+	syncSeconds.UpdateDuration(began)
+	syncsTotal.Inc()
+	return err
+}
+
+func (n *Node) persistSnapshot(s *wire.Snapshot) error {
+	n.snapshotMu.Lock() // a local snapshot may be in progress
+	defer n.snapshotMu.Unlock()
+	if err := n.log.WriteSnapshot(s); err != nil {
+		return err
+	}
+	return n.log.Compact(s.Index, true)
+}
+
+// fail stops this replica's participation for good. A failed sync must not be retried: see
+// package walog.
+func (n *Node) fail(err error) {
+	n.failed = true
+	n.failPending(ErrUncertain)
+	n.options.Logger.Error("disk failed, stopping replica", "error", err)
+	n.options.OnDiskFailure(err)
+}
+
+func (n *Node) send(messages []*wire.PeerMessage) {
+	byTarget := map[uint64][]*wire.PeerMessage{}
+	for _, m := range messages {
+		byTarget[m.To] = append(byTarget[m.To], m)
+	}
+	for _, member := range n.core.Members().GetMembers() {
+		if batch := byTarget[member.ReplicaId]; len(batch) > 0 {
+			n.options.Send(member, batch)
+			delete(byTarget, member.ReplicaId)
+		}
+	}
+	for id, batch := range byTarget {
+		if member := n.options.Lookup(id); member != nil {
+			n.options.Send(member, batch)
+		}
+	}
+}
+
+func (n *Node) restoreSnapshot(s *wire.Snapshot) {
+	if err := n.machine.Load(s.State); err != nil {
+		n.fail(err)
+		return
+	}
+	n.appliedIndex, n.appliedTerm = s.Index, s.Term
+	n.options.Logger.Info("state restored from leader snapshot", "index", s.Index)
+}
+
+func (n *Node) applyEntry(r *wire.LogRecord) {
+	var result state.Result
+	if r.Command != nil {
+		result = n.machine.Apply(r.Command)
+	}
+	n.appliedIndex, n.appliedTerm = r.Index, r.Term
+	entriesAppliedTotal.Inc()
+	w, ok := n.waiters[r.Index]
+	if !ok {
+		return
+	}
+	delete(n.waiters, r.Index)
+	if w.term != r.Term {
+		w.done(state.Result{}, ErrUncertain) // overwritten by another leader's entry
+		return
+	}
+	w.done(result, nil)
+}
+
+// startReadIndex assigns new reads to a heartbeat round and the current commit index.
+func (n *Node) startReadIndex() {
+	if len(n.newReads) == 0 {
+		return
+	}
+	fresh := n.newReads
+	n.newReads = nil
+	status := n.core.Status()
+	if n.role != quorum.Leader || n.appliedTerm != status.Term {
+		for _, done := range fresh {
+			done(ErrNotLeader)
+		}
+		return
+	}
+	round := n.core.Heartbeat()
+	for _, done := range fresh {
+		n.reads = append(n.reads, pendingRead{round, status.Commit, done})
+	}
+}
+
+// completeReads runs the reads whose round is confirmed and whose index is applied.
+func (n *Node) completeReads() {
+	status := n.core.Status()
+	kept := n.reads[:0]
+	for _, r := range n.reads {
+		switch {
+		case status.Role != quorum.Leader:
+			r.done(ErrNotLeader)
+		case status.ConfirmedRound >= r.round && n.appliedIndex >= r.index:
+			r.done(nil)
+		default:
+			kept = append(kept, r)
+		}
+	}
+	n.reads = kept
+}
+
+// recordRounds tracks when each heartbeat round was sent, and renews the leader lease with
+// the send time of the latest round that a quorum has acknowledged.
+//
+// Each round is recorded once, in the iteration that sent it. If a confirmed round were
+// recorded again with a later time, a leader resuming from suspension would renew its lease
+// without contacting anyone.
+func (n *Node) recordRounds() {
+	status := n.core.Status()
+	if status.Role != quorum.Leader || status.TransferringLeadership {
+		n.leaderLease.Store(nil)
+	}
+	if status.Role != quorum.Leader {
+		n.unconfirmedRounds, n.confirmedAt = nil, time.Time{}
+		return
+	}
+	if status.Round > n.lastRecordedRound {
+		n.lastRecordedRound = status.Round
+		n.unconfirmedRounds = append(n.unconfirmedRounds, sentRound{status.Round, n.iterationStart, n.iterationBootTime})
+	}
+	for len(n.unconfirmedRounds) > 0 && n.unconfirmedRounds[0].round <= status.ConfirmedRound {
+		n.confirmedAt = n.unconfirmedRounds[0].sentAt
+		if !status.TransferringLeadership {
+			n.leaderLease.Store(&leaderLease{term: status.Term, confirmedAt: n.unconfirmedRounds[0].sentBootTime})
+		}
+		n.unconfirmedRounds = n.unconfirmedRounds[1:]
+	}
+}
+
+func (n *Node) updateRole() {
+	status := n.core.Status()
+	if status.Role == n.role {
+		return
+	}
+	roleChangesTotal.Inc()
+	n.options.Logger.Info("role changed", "from", n.role.String(), "to", status.Role.String(), "term", status.Term)
+	if status.Role == quorum.Leader {
+		n.leaderSince = n.options.Clock.Now()
+	}
+	if n.role == quorum.Leader {
+		n.failPending(ErrUncertain)
+	}
+	n.role = status.Role
+}
+
+func (n *Node) failPending(err error) {
+	waiters, reads := n.waiters, n.reads
+	n.waiters, n.reads = map[uint64]waiter{}, nil
+	for _, w := range waiters {
+		w.done(state.Result{}, err)
+	}
+	for _, r := range reads {
+		r.done(ErrNotLeader)
+	}
+}
+
+// maybeSnapshot takes a snapshot once SnapshotThreshold entries have been applied since the
+// last one. The state is serialized on the event loop and written to disk on another
+// goroutine.
+func (n *Node) maybeSnapshot() {
+	status := n.core.Status()
+	if n.savingSnapshot || n.failed || n.appliedIndex < status.FirstIndex || n.appliedIndex-status.FirstIndex+1 < n.options.SnapshotThreshold {
+		return
+	}
+	data, err := n.machine.Save()
+	if err != nil {
+		n.fail(err)
+		return
+	}
+	s := &wire.Snapshot{
+		Index: n.appliedIndex, Term: n.appliedTerm, State: data,
+		Membership: proto.Clone(n.core.MembersAt(n.appliedIndex)).(*wire.Membership),
+	}
+	n.savingSnapshot = true
+	n.writers.Go(func() {
+		n.snapshotMu.Lock()
+		err := n.log.WriteSnapshot(s)
+		n.snapshotMu.Unlock()
+		n.Post(func() { n.snapshotWritten(s, err) })
+	})
+}
+
+func (n *Node) snapshotWritten(s *wire.Snapshot, err error) {
+	n.savingSnapshot = false
+	if n.failed {
+		return
+	}
+	if err != nil {
+		n.fail(err)
+		return
+	}
+	snapshotsTotal.Inc()
+	if s.Index <= n.core.Status().FirstIndex-1 {
+		return
+	}
+	n.core.Compact(s)
+	n.compactIndex = s.Index
+	n.compactLog()
+}
--- a/internal/store/node/right_test.go
+++ b/internal/store/node/lease_test.go
@@ -1,4 +1,4 @@
-// This file defines the test of a leader that was suspended.
+// This file defines the tests of the leader lease.
 
 package node_test
 
@@ -26,33 +26,33 @@
 	electionTimeout = 100 * time.Millisecond
 )
 
-// trio is replica 1 of three. The test plays the other two: they agree to all
-// that they are asked, as long as they answer.
-type trio struct {
-	node      *node.Node
-	clock     *clockwork.FakeClock
-	boot      atomic.Int64
-	turns     atomic.Int64
-	answering atomic.Bool
-	sent      atomic.Int64 // messages
+// testCluster runs replica 1 of three. The test plays the other two, which grant every vote
+// and acknowledge every append while responding is set.
+type testCluster struct {
+	node       *node.Node
+	clock      *clockwork.FakeClock
+	bootTime   atomic.Int64
+	iterations atomic.Int64
+	responding atomic.Bool
+	sent       atomic.Int64 // messages sent by replica 1
 }
 
-func startTrio(t *testing.T, options walog.Options) *trio {
+func startCluster(t *testing.T, options walog.Options) *testCluster {
 	t.Helper()
 	log, durable, err := walog.Open(t.TempDir(), options)
 	assert.NilError(t, err)
 	durable.Snapshot = &wire.Snapshot{Membership: &wire.Membership{ClusterId: 9, Members: []*wire.ControlMember{
 		{ReplicaId: 1, Voter: true}, {ReplicaId: 2, Voter: true}, {ReplicaId: 3, Voter: true},
 	}}}
-	r := &trio{clock: clockwork.NewFakeClock()}
-	r.answering.Store(true)
+	r := &testCluster{clock: clockwork.NewFakeClock()}
+	r.responding.Store(true)
 	r.node, err = node.New(node.Options{
 		ID: 1, HeartbeatInterval: heartbeat, ElectionTimeout: electionTimeout, SnapshotThreshold: 20000,
-		Clock: r.clock, BootTime: func() time.Duration { return time.Duration(r.boot.Load()) },
+		Clock: r.clock, BootTime: func() time.Duration { return time.Duration(r.bootTime.Load()) },
 		Logger:         slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Send:           r.answer,
+		Send:           r.respond,
 		Lookup:         func(uint64) *wire.ControlMember { return nil },
-		AfterIteration: func(time.Time) { r.turns.Add(1) },
+		AfterIteration: func(time.Time) { r.iterations.Add(1) },
 		OnDiskFailure:  func(err error) { t.Error(err) },
 	}, log, durable, state.New(state.Options{}))
 	assert.NilError(t, err)
@@ -64,10 +64,10 @@
 	return r
 }
 
-// answer is what a replica says that holds all and agrees to all.
-func (r *trio) answer(to *wire.ControlMember, messages []*wire.PeerMessage) {
+// respond plays a replica that has every entry and accepts every message.
+func (r *testCluster) respond(to *wire.ControlMember, messages []*wire.PeerMessage) {
 	r.sent.Add(int64(len(messages)))
-	if !r.answering.Load() {
+	if !r.responding.Load() {
 		return
 	}
 	kinds := map[wire.PeerMessageKind]wire.PeerMessageKind{
@@ -85,8 +85,8 @@
 	r.node.Step(answers)
 }
 
-// term returns the term in which the replica leads, once it does.
-func (r *trio) term(t *testing.T) uint64 {
+// waitForLease waits until the replica holds the leader lease and returns its term.
+func (r *testCluster) waitForLease(t *testing.T) uint64 {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); {
 		term := uint64(0)
@@ -100,100 +100,94 @@
 		}
 		r.advance(heartbeat / 2)
 	}
-	t.Fatal("the replica doesn't lead")
+	t.Fatal("replica did not become leader")
 	return 0
 }
 
-// settle waits until all that was on its way has been dealt with, to the end of
-// the turn that took it.
-func (r *trio) settle(t *testing.T) {
+// waitIdle waits until all messages sent so far have been handled, including the end of the
+// iteration that took them from the inbox.
+func (r *testCluster) waitIdle(t *testing.T) {
 	t.Helper()
-	for end := r.turns.Load() + 2; r.turns.Load() < end; {
+	for end := r.iterations.Load() + 2; r.iterations.Load() < end; {
 		assert.NilError(t, r.node.Do(context.Background(), func() {}))
 	}
 }
 
-func (r *trio) advance(d time.Duration) {
-	r.boot.Add(int64(d))
+func (r *testCluster) advance(d time.Duration) {
+	r.bootTime.Add(int64(d))
 	r.clock.Advance(d)
 }
 
-// Symptom: a leader that was suspended for seconds answers reads from before
-// that and sends orders beside the next leader, for 0.8 election timeouts after
-// it wakes. Sequence: all its rounds are confirmed; it is suspended and another
-// is elected; on waking it takes a message before its own next heartbeat is due.
-// Cause: with no round waiting for answers, the turn noted the last round again
-// as if it had been sent just now, and as it was confirmed long ago, the right
-// to lead was renewed without asking anyone.
-func TestSuspendedLeaderHasNoRightToLead(t *testing.T) {
-	r := startTrio(t, walog.Options{})
-	term := r.term(t)
-	r.answering.Store(false)
-	r.settle(t)
-	r.boot.Add(int64(7 * time.Second)) // its own timers stand still meanwhile
+// Guards against a leader that renews its lease on waking from suspension without
+// contacting other replicas, and so acts concurrently with the next leader.
+func TestSuspendedLeaderHoldsNoLease(t *testing.T) {
+	r := startCluster(t, walog.Options{})
+	term := r.waitForLease(t)
+	r.responding.Store(false)
+	r.waitIdle(t)
+	r.bootTime.Add(int64(7 * time.Second)) // timers don't advance during suspension
 	for range 3 {
-		r.settle(t)
+		r.waitIdle(t)
 		var confirmed time.Duration
 		assert.NilError(t, r.node.Do(context.Background(), func() {
 			confirmed = r.clock.Since(r.node.LeadershipConfirmedAt())
 		}))
-		assert.Assert(t, !r.node.HoldsLeaderLease(term), "the right to lead was renewed, as of %v ago", confirmed)
+		assert.Assert(t, !r.node.HoldsLeaderLease(term), "leader lease was renewed, confirmed %v ago", confirmed)
 	}
 }
 
-// The same cause by the clock that leases are granted by: silence of all others
-// must make the confirmed moment older, whatever other turns there are.
-func TestConfirmedMomentGrowsOldInSilence(t *testing.T) {
-	r := startTrio(t, walog.Options{})
-	r.term(t)
-	r.answering.Store(false)
-	r.settle(t)
+// Guards against LeadershipConfirmedAt advancing in iterations in which no replica
+// responded.
+func TestConfirmedAtDoesNotAdvanceWithoutResponses(t *testing.T) {
+	r := startCluster(t, walog.Options{})
+	r.waitForLease(t)
+	r.responding.Store(false)
+	r.waitIdle(t)
 	before := time.Time{}
 	assert.NilError(t, r.node.Do(context.Background(), func() { before = r.node.LeadershipConfirmedAt() }))
 	r.clock.Advance(heartbeat / 4) // less than a tick
 	for range 3 {
-		r.settle(t)
+		r.waitIdle(t)
 		after := time.Time{}
 		assert.NilError(t, r.node.Do(context.Background(), func() { after = r.node.LeadershipConfirmedAt() }))
-		assert.Assert(t, after.Equal(before), "confirmed %v later without an answer", after.Sub(before))
+		assert.Assert(t, after.Equal(before), "confirmed %v later without a response", after.Sub(before))
 	}
 }
 
-// Symptom: nothing is committed for as long as a disk hangs. Sequence: the leader's
-// disk hangs in mid-write. Cause, were it so: its heartbeats go on, since they don't
-// need the disk, so that no other replica takes its place.
-func TestLeaderWithAHangingDiskIsMissed(t *testing.T) {
+// Guards against a leader whose disk hangs but whose heartbeats continue, which would keep
+// other replicas from being elected while nothing is committed.
+func TestLeaderWithHangingDiskSendsNothing(t *testing.T) {
 	var hangs atomic.Bool
 	begun, release := make(chan struct{}, 1), make(chan struct{})
-	mend := sync.OnceFunc(func() {
+	unblock := sync.OnceFunc(func() {
 		hangs.Store(false)
 		close(release)
 	})
-	defer mend() // a replica stops only once its write has ended
-	r := startTrio(t, walog.Options{Sync: func(f *os.File) error {
+	defer unblock() // Stop waits for the write
+	r := startCluster(t, walog.Options{Sync: func(f *os.File) error {
 		if hangs.Load() {
 			begun <- struct{}{}
 			<-release
 		}
 		return f.Sync()
 	}})
-	r.term(t)
-	r.settle(t)
+	r.waitForLease(t)
+	r.waitIdle(t)
 	hangs.Store(true)
-	r.node.Post(func() { r.node.Propose(dispatch(0), func(state.Result, error) {}) })
+	r.node.Post(func() { r.node.Propose(openDispatchCommand(0), func(state.Result, error) {}) })
 	<-begun
 	r.advance(heartbeat)
-	r.settle(t)
+	r.waitIdle(t)
 	before := r.sent.Load()
 	for range 10 {
 		r.advance(heartbeat / 2)
-		r.settle(t)
+		r.waitIdle(t)
 	}
-	assert.Equal(t, r.sent.Load(), before, "messages leave though the disk hangs")
-	mend()
+	assert.Equal(t, r.sent.Load(), before, "messages were sent while the disk hung")
+	unblock()
 	for end := time.Now().Add(time.Minute); r.sent.Load() == before; {
-		assert.Assert(t, time.Now().Before(end), "nothing leaves after the disk is back")
+		assert.Assert(t, time.Now().Before(end), "nothing was sent after the disk recovered")
 		r.advance(heartbeat)
-		r.settle(t)
+		r.waitIdle(t)
 	}
 }
--- a/internal/store/node/node.go
+++ b/internal/store/node/node.go
@@ -1,11 +1,12 @@
-// This file defines Node, its loop and what may be asked of it.
+// This file defines Node, its event loop and its methods.
 
-// Package node runs one control replica: it drives the replicated log with a
-// clock, a disk and a transport, and applies what is committed.
+// Package node runs one control replica: it drives the replicated log with a clock, a disk
+// and a transport, and applies committed log entries to the state machine.
 //
-// One goroutine owns the log, the state and all that hangs on them. Others
-// reach it through Do. Another one writes for it; while it syncs, requests gather,
-// so that one sync commits them all, and the loop goes on with all else.
+// The event loop runs on one goroutine, which owns the log and the state machine; other
+// goroutines access them through Do and Post. Disk writes run on a separate goroutine so
+// that the loop stays responsive during a sync. Proposals that arrive during a sync are
+// batched into the next one.
 package node
 
 import (
@@ -30,63 +31,65 @@
 )
 
 const (
-	inboxLength = 8192
-	// maxDrain is how many requests one turn of the loop takes at most, so
-	// that ticks are never starved.
-	maxDrain = 4096
-	// ticksPerHeartbeat makes the log's ticks finer than its heartbeats.
-	ticksPerHeartbeat = 2
-	// rightPercent of the election timeout is how long a confirmed round gives
-	// the right to lead; the rest covers clocks that run at different rates
-	// and the time between the check and the act.
-	rightPercent = 80
+	inboxCapacity = 8192
+	// maxTasksPerIteration limits the functions run from the inbox in one loop iteration so
+	// that ticks aren't delayed.
+	maxTasksPerIteration = 4096
+	ticksPerHeartbeat    = 2
+	// leaderLeasePercent is the length of the leader lease as a percentage of the election
+	// timeout. The rest allows for clock drift between replicas and for the time between
+	// checking the lease and acting on it.
+	leaderLeasePercent = 80
 )
 
-// What a proposal or read can come to. Each layer above turns these into its
-// own.
+// Errors returned by proposals and reads.
 var (
-	// ErrNotLeader: nothing was appended; ask the leader.
+	// ErrNotLeader is returned when this replica isn't the leader. Nothing was appended;
+	// the caller may retry at the leader.
 	ErrNotLeader = errors.New("node: this replica doesn't lead")
-	// ErrUncertain: the command was appended but leadership was lost before
-	// it was committed. It may still be.
+	// ErrUncertain is returned when the command was appended but leadership was lost before
+	// it was committed. It may still be committed by the next leader.
 	ErrUncertain = errors.New("node: leadership was lost before the commit")
-	// ErrStopped: the replica is stopping.
+	// ErrStopped is returned when the replica is stopping.
 	ErrStopped = errors.New("node: stopped")
 )
 
 var (
-	syncSeconds    = metrics.NewHistogram("sycamoredeck_log_sync_seconds")
-	commitsTotal   = metrics.NewCounter("sycamoredeck_log_records_applied_total")
-	syncsTotal     = metrics.NewCounter("sycamoredeck_log_syncs_total")
-	snapshotsTotal = metrics.NewCounter("sycamoredeck_log_snapshots_total")
-	leaderChanges  = metrics.NewCounter("sycamoredeck_log_role_changes_total")
+	syncSeconds         = metrics.NewHistogram("sycamoredeck_log_sync_seconds")
+	entriesAppliedTotal = metrics.NewCounter("sycamoredeck_log_records_applied_total")
+	syncsTotal          = metrics.NewCounter("sycamoredeck_log_syncs_total")
+	snapshotsTotal      = metrics.NewCounter("sycamoredeck_log_snapshots_total")
+	roleChangesTotal    = metrics.NewCounter("sycamoredeck_log_role_changes_total")
 )
 
 type (
-	// Options are fixed for the life of a Node.
+	// Options configures a Node and doesn't change during its life.
 	Options struct {
 		ID                uint64
 		HeartbeatInterval time.Duration
 		ElectionTimeout   time.Duration
+		// SnapshotThreshold is the number of applied log entries since the last snapshot
+		// after which a new one is taken.
 		SnapshotThreshold uint64
 		Clock             clockwork.Clock
-		// Boot is a clock that also counts the time during which the instance
-		// is suspended, from any fixed moment; package boot's when nil.
+		// BootTime returns the time since an arbitrary fixed moment, including time during
+		// which the instance was suspended. boot.Now is used when nil.
 		BootTime func() time.Duration
 		Logger   *slog.Logger
-		// Send hands messages to the transport. It must not block and may
-		// lose them.
+		// Send passes messages to the transport. It must not block and may drop them.
 		Send func(to *wire.ControlMember, messages []*wire.PeerMessage)
-		// Lookup finds a replica that isn't in the membership known here; nil
-		// when it is unknown. A replica that has just joined knows no
-		// members, and must answer the leader all the same.
+		// Lookup returns a replica that isn't in the local membership, or nil if it is
+		// unknown. A replica that has just joined has an empty membership but must respond
+		// to the leader.
 		Lookup func(id uint64) *wire.ControlMember
-		// Turn is called on the loop after each turn, with the time.
+		// AfterIteration is called on the event loop after each iteration, with the current
+		// time.
 		AfterIteration func(now time.Time)
-		// Failed is called once when the disk fails. The process must stop.
+		// OnDiskFailure is called once when the disk fails. The process must stop.
 		OnDiskFailure func(error)
 	}
 
+	// waiter is the callback of a proposal that was appended in term and isn't applied yet.
 	waiter struct {
 		term uint64
 		done func(state.Result, error)
@@ -97,18 +100,20 @@
 		done    func(state.Result, error)
 	}
 
-	read struct {
+	// pendingRead is a read that runs once round is confirmed and index is applied.
+	pendingRead struct {
 		round, index uint64
 		done         func(error)
 	}
 
+	// sentRound is a heartbeat round that no quorum has acknowledged yet.
 	sentRound struct {
-		round uint64
-		at    time.Time
-		boot  time.Duration
+		round        uint64
+		sentAt       time.Time
+		sentBootTime time.Duration
 	}
 
-	// Node is one running replica.
+	// Node is one control replica. Its fields belong to the event loop unless noted.
 	Node struct {
 		options Options
 		core    *quorum.Core
@@ -116,47 +121,47 @@
 		machine *state.Machine
 
 		inbox chan func()
-		quit  chan struct{}
+		stop  chan struct{}
 		done  chan struct{}
 
-		proposals []proposal
-		waiters   map[uint64]waiter
-		reads     []read
-		freshRead []func(error)
-		rounds    []sentRound
-		noted     uint64 // the highest round that was ever in rounds
-		confirmed time.Time
-		role      quorum.Role
-		leaderAt  time.Time
-		appliedTo uint64
-		appliedIn uint64 // term of the record last applied
-		// turnBegan is taken before anything of the turn is sent. A round is
-		// stamped with it, so that a freeze in mid-turn makes the leadership
-		// that the round confirms look older than it is, never younger.
-		turnBegan time.Time
-		bootBegan time.Duration
-		// right is what HoldsLeaderLease tells.
-		right atomic.Pointer[leadRight]
-		// writing tells that an output is being written, saving that a snapshot of our
-		// own is; snapshotFile is held while the snapshot's file is.
-		writing, saving bool
-		writeBegan      time.Duration
-		snapshotFile    sync.Mutex
-		// covered is the position up to which segments are to be removed; 0 for none.
-		covered uint64
-		writes  sync.WaitGroup
-		failed  bool
+		proposals         []proposal
+		waiters           map[uint64]waiter // by log index
+		reads             []pendingRead
+		newReads          []func(error) // not assigned to a heartbeat round yet
+		unconfirmedRounds []sentRound
+		lastRecordedRound uint64 // the highest round ever added to unconfirmedRounds
+		confirmedAt       time.Time
+		role              quorum.Role
+		leaderSince       time.Time
+		appliedIndex      uint64
+		appliedTerm       uint64 // term of the entry at appliedIndex
+		// iterationStart is read before the iteration sends anything and is the send time of
+		// its heartbeat round. If the process is paused in mid-iteration, the leader lease
+		// that the round confirms therefore starts too early rather than too late.
+		iterationStart    time.Time
+		iterationBootTime time.Duration
+		// leaderLease is read by HoldsLeaderLease on any goroutine.
+		leaderLease atomic.Pointer[leaderLease]
+		// persisting is true while a Ready is written to disk, savingSnapshot while a local
+		// snapshot is. snapshotMu guards the snapshot file.
+		persisting, savingSnapshot bool
+		persistStart               time.Duration
+		snapshotMu                 sync.Mutex
+		// compactIndex is the index up to which log segments are due for removal, or 0.
+		compactIndex uint64
+		writers      sync.WaitGroup
+		failed       bool
 	}
 )
 
-// New returns a replica that resumes from what its folder held.
+// New returns a replica that resumes from the durable state.
 func New(options Options, log *walog.Log, durable *walog.DurableState, machine *state.Machine) (*Node, error) {
 	if options.BootTime == nil {
 		options.BootTime = boot.Now
 	}
 	n := &Node{
 		options: options, log: log, machine: machine,
-		inbox: make(chan func(), inboxLength), quit: make(chan struct{}), done: make(chan struct{}),
+		inbox: make(chan func(), inboxCapacity), stop: make(chan struct{}), done: make(chan struct{}),
 		waiters: map[uint64]waiter{},
 	}
 	if s := durable.Snapshot; s != nil && len(s.State) > 0 {
@@ -164,7 +169,7 @@
 			return nil, trace.Wrap(err, "snapshot at %d", s.Index)
 		}
 	}
-	n.appliedTo = durable.Snapshot.GetIndex()
+	n.appliedIndex = durable.Snapshot.GetIndex()
 	n.core = quorum.New(quorum.Options{
 		ID:             options.ID,
 		HeartbeatTicks: ticksPerHeartbeat,
@@ -174,45 +179,45 @@
 	return n, nil
 }
 
-// Run drives the replica until Stop.
+// Run executes the event loop until Stop is called.
 func (n *Node) Run() {
 	defer close(n.done)
 	ticker := n.options.Clock.NewTicker(n.options.HeartbeatInterval / ticksPerHeartbeat)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-n.quit:
-			n.failAll(ErrStopped)
+		case <-n.stop:
+			n.failPending(ErrStopped)
 			return
 		case <-ticker.Chan():
-			n.beginTurn()
+			n.startIteration()
 			n.core.Tick()
 		case f := <-n.inbox:
-			n.beginTurn()
+			n.startIteration()
 			f()
-			n.drain()
+			n.drainInbox()
 		}
 		if n.failed {
 			continue
 		}
-		n.turn()
+		n.runIteration()
 	}
 }
 
-func (n *Node) beginTurn() {
-	n.turnBegan = n.options.Clock.Now()
-	n.bootBegan = n.options.BootTime()
+func (n *Node) startIteration() {
+	n.iterationStart = n.options.Clock.Now()
+	n.iterationBootTime = n.options.BootTime()
 }
 
-// Stop ends the loop and waits for it, and for what is being written.
+// Stop ends the event loop and waits for it and for disk writes in progress.
 func (n *Node) Stop() {
-	close(n.quit)
+	close(n.stop)
 	<-n.done
-	n.writes.Wait()
+	n.writers.Wait()
 }
 
-func (n *Node) drain() {
-	for range maxDrain {
+func (n *Node) drainInbox() {
+	for range maxTasksPerIteration {
 		select {
 		case f := <-n.inbox:
 			f()
@@ -222,7 +227,7 @@
 	}
 }
 
-// Post runs f on the loop some time later; false when the replica is stopping.
+// Post schedules f to run on the event loop. It returns false if the replica is stopping.
 func (n *Node) Post(f func()) bool {
 	select {
 	case n.inbox <- f:
@@ -232,7 +237,7 @@
 	}
 }
 
-// Do runs f on the loop and waits until it has run.
+// Do runs f on the event loop and waits until it has returned.
 func (n *Node) Do(ctx context.Context, f func()) error {
 	ran := make(chan struct{})
 	if !n.Post(func() { f(); close(ran) }) {
@@ -248,7 +253,8 @@
 	}
 }
 
-// Propose has a command committed. It is called on the loop, and so is done, with what applying it came to.
+// Propose appends a command to the replicated log. It must be called on the event loop,
+// where done is called later with the result of applying the command.
 func (n *Node) Propose(command *wire.Command, done func(state.Result, error)) {
 	if n.role != quorum.Leader {
 		done(state.Result{}, ErrNotLeader)
@@ -260,8 +266,8 @@
 	n.proposals = append(n.proposals, proposal{command, done})
 }
 
-// Commit has a command committed and waits for it. It may be called from any
-// goroutine but the loop's.
+// Commit proposes a command and waits until it is applied. It must not be called on the
+// event loop.
 func (n *Node) Commit(ctx context.Context, command *wire.Command) (state.Result, error) {
 	type answer struct {
 		result state.Result
@@ -281,19 +287,19 @@
 	}
 }
 
-// Read runs f on the loop at a moment when the state holds all that was
-// committed before Read was called, confirmed by a quorum.
+// Read runs f on the event loop as a linearizable read: after a quorum has confirmed this
+// replica's leadership and everything committed before the call has been applied.
 func (n *Node) Read(ctx context.Context, f func()) error {
 	answers := make(chan error, 1)
-	ask := func() {
-		n.freshRead = append(n.freshRead, func(err error) {
+	enqueue := func() {
+		n.newReads = append(n.newReads, func(err error) {
 			if err == nil {
 				f()
 			}
 			answers <- err
 		})
 	}
-	if !n.Post(ask) {
+	if !n.Post(enqueue) {
 		return ErrStopped
 	}
 	select {
@@ -306,7 +312,7 @@
 	}
 }
 
-// Step hands a message from another replica to the loop.
+// Step passes messages from another replica to the replicated log.
 func (n *Node) Step(messages []*wire.PeerMessage) {
 	n.Post(func() {
 		for _, m := range messages {
@@ -315,43 +321,46 @@
 	})
 }
 
-// Core gives the log to code that runs on the loop.
+// Core returns the replicated log. It may only be used on the event loop.
 func (n *Node) Core() *quorum.Core { return n.core }
 
-// Machine gives the state to code that runs on the loop.
+// Machine returns the state machine. It may only be used on the event loop.
 func (n *Node) Machine() *state.Machine { return n.machine }
 
-// Leads tells, on the loop, whether this replica leads and has applied all
-// that earlier leaders committed, and since when it leads.
+// IsLeader reports whether this replica is the leader and has applied every entry committed
+// by earlier leaders, and since when it has been the leader. It must be called on the event
+// loop.
 func (n *Node) IsLeader() (time.Time, bool) {
-	ready := n.role == quorum.Leader && n.appliedIn == n.core.Status().Term
-	return n.leaderAt, ready
+	ready := n.role == quorum.Leader && n.appliedTerm == n.core.Status().Term
+	return n.leaderSince, ready
 }
 
-// SinceLastResponse tells the leader, on the loop, how long ago a replica last answered.
+// SinceLastResponse returns the time since a replica last responded to this leader. It must
+// be called on the event loop.
 func (n *Node) SinceLastResponse(id uint64) time.Duration {
 	return time.Duration(n.core.TicksSinceResponse(id)) * n.options.HeartbeatInterval / ticksPerHeartbeat
 }
 
-// LeadershipConfirmedAt is, on the loop, the last moment at which this replica surely
-// led: when the latest round began that a quorum has answered.
-func (n *Node) LeadershipConfirmedAt() time.Time { return n.confirmed }
+// LeadershipConfirmedAt returns the latest moment at which this replica is known to have
+// been the leader: the send time of the last heartbeat round that a quorum has
+// acknowledged. It must be called on the event loop.
+func (n *Node) LeadershipConfirmedAt() time.Time { return n.confirmedAt }
 
-// leadRight is a leadership that a quorum confirmed.
-type leadRight struct {
-	term uint64
-	at   time.Duration // by the boot clock
+// leaderLease is a leadership that a quorum has confirmed.
+type leaderLease struct {
+	term        uint64
+	confirmedAt time.Duration // on the clock of Options.BootTime
 }
 
-// HoldsLeaderLease tells, from any goroutine, whether this replica surely leads in
-// the given term at this moment. A quorum has answered a round that began less
-// than an election timeout ago, and gives no vote within that time.
+// HoldsLeaderLease reports whether this replica is certain to be the leader in the given
+// term: a quorum has acknowledged a heartbeat round sent less than an election timeout ago,
+// and grants no votes within that time. It may be called on any goroutine.
 //
-// It is measured on a clock that counts suspension: an instance that was
-// suspended for seconds would else believe on waking that its last round was
-// answered just now, and send orders beside the next leader.
+// The lease is measured on a clock that counts suspension. Otherwise an instance that was
+// suspended for seconds would still consider its lease valid on waking, and would send
+// orders concurrently with the next leader.
 func (n *Node) HoldsLeaderLease(term uint64) bool {
-	r := n.right.Load()
-	limit := n.options.ElectionTimeout * rightPercent / 100
-	return r != nil && r.term == term && n.options.BootTime()-r.at < limit
+	r := n.leaderLease.Load()
+	limit := n.options.ElectionTimeout * leaderLeasePercent / 100
+	return r != nil && r.term == term && n.options.BootTime()-r.confirmedAt < limit
 }
--- a/internal/store/node/node_test.go
+++ b/internal/store/node/node_test.go
@@ -1,4 +1,4 @@
-// This file defines the tests and benchmarks of a replica with its disk.
+// This file defines the tests and benchmarks of a replica that writes to disk.
 
 package node_test
 
@@ -26,14 +26,14 @@
 	"sycamoredeck.example/internal/store/walog"
 )
 
-// replica is the only member of its cluster, on a real folder.
-type replica struct {
+// testReplica is the only member of its cluster. It writes to a real folder.
+type testReplica struct {
 	node   *node.Node
 	log    *walog.Log
 	failed chan error
 }
 
-func start(t testing.TB, folder string, options walog.Options) *replica {
+func start(t testing.TB, folder string, options walog.Options) *testReplica {
 	t.Helper()
 	log, durable, err := walog.Open(folder, options)
 	assert.NilError(t, err)
@@ -43,7 +43,7 @@
 		}}
 		assert.NilError(t, log.WriteSnapshot(durable.Snapshot))
 	}
-	r := &replica{log: log, failed: make(chan error, 1)}
+	r := &testReplica{log: log, failed: make(chan error, 1)}
 	r.node, err = node.New(node.Options{
 		ID: 1, HeartbeatInterval: 10 * time.Millisecond, ElectionTimeout: 20 * time.Millisecond,
 		SnapshotThreshold: 20000, Clock: clockwork.NewRealClock(), Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
@@ -53,11 +53,11 @@
 	}, log, durable, state.New(state.Options{}))
 	assert.NilError(t, err)
 	go r.node.Run()
-	r.untilLeads(t)
+	r.waitForLeader(t)
 	return r
 }
 
-func (r *replica) untilLeads(t testing.TB) {
+func (r *testReplica) waitForLeader(t testing.TB) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		leads := false
@@ -66,17 +66,18 @@
 			return
 		}
 	}
-	t.Fatal("the replica doesn't lead")
+	t.Fatal("replica did not become leader")
 }
 
-func (r *replica) stop(t testing.TB) {
+func (r *testReplica) stop(t testing.TB) {
 	t.Helper()
 	r.node.Stop()
 	assert.NilError(t, r.log.Close())
 }
 
-// Guards against a replica that ends when its disk is full, or acknowledges what isn't on it.
-func TestFullDiskIsWaitedFor(t *testing.T) {
+// Guards against a replica that stops when its disk is full, or that acknowledges a change
+// which isn't on disk.
+func TestWritesAreRetriedOnFullDisk(t *testing.T) {
 	var full atomic.Bool
 	r := start(t, t.TempDir(), walog.Options{Write: func(f *os.File, data []byte) (int, error) {
 		if full.Load() {
@@ -88,10 +89,10 @@
 	full.Store(true)
 	done := make(chan error, 1)
 	go func() {
-		_, err := r.node.Commit(context.Background(), dispatch(10))
+		_, err := r.node.Commit(context.Background(), openDispatchCommand(10))
 		done <- err
 	}()
-	// The loop goes on meanwhile: what it is asked is answered.
+	// The event loop must stay responsive.
 	for range 20 {
 		assert.NilError(t, r.node.Do(context.Background(), func() {}))
 		time.Sleep(10 * time.Millisecond)
@@ -99,26 +100,26 @@
 	assert.Equal(t, len(done), 0, "a refused write was acknowledged")
 	full.Store(false)
 	assert.NilError(t, <-done)
-	assert.Assert(t, r.holds(t, 10))
+	assert.Assert(t, r.hasDispatch(t, 10))
 	assert.Equal(t, len(r.failed), 0)
 	r.stop(t)
 }
 
-func dispatch(i int) *wire.Command {
+func openDispatchCommand(i int) *wire.Command {
 	return &wire.Command{Body: &wire.Command_OpenDispatch{OpenDispatch: &wire.DispatchRecord{
 		ClientAccount: "account", RequestId: fmt.Sprintf("request-%08d", i), EntryId: "entry-1", Nonce: fmt.Sprintf("%036d", i),
 	}}}
 }
 
-// commit commits changes, up to 64 at a time.
-func (r *replica) commit(t testing.TB, from, to int) {
+// commit commits the changes from, ..., to-1, up to 64 at a time.
+func (r *testReplica) commit(t testing.TB, from, to int) {
 	t.Helper()
 	var group sync.WaitGroup
 	next := make(chan int)
 	for range 64 {
 		group.Go(func() {
 			for i := range next {
-				_, err := r.node.Commit(context.Background(), dispatch(i))
+				_, err := r.node.Commit(context.Background(), openDispatchCommand(i))
 				assert.Check(t, err)
 			}
 		})
@@ -130,7 +131,7 @@
 	group.Wait()
 }
 
-func (r *replica) holds(t testing.TB, i int) bool {
+func (r *testReplica) hasDispatch(t testing.TB, i int) bool {
 	t.Helper()
 	held := false
 	assert.NilError(t, r.node.Read(context.Background(), func() {
@@ -139,8 +140,8 @@
 	return held
 }
 
-// Every acknowledged change is there after a restart, across snapshots.
-func TestRestartKeepsWhatWasAcknowledged(t *testing.T) {
+// Guards against the loss of acknowledged changes after a restart, also across snapshots.
+func TestRestartKeepsAcknowledgedChanges(t *testing.T) {
 	folder := t.TempDir()
 	const changes = 45000
 	r := start(t, folder, walog.Options{})
@@ -149,15 +150,13 @@
 	r = start(t, folder, walog.Options{})
 	defer r.stop(t)
 	for i := 0; i < changes; i += 997 {
-		assert.Assert(t, r.holds(t, i), "change %d is gone", i)
+		assert.Assert(t, r.hasDispatch(t, i), "change %d was lost", i)
 	}
-	assert.Assert(t, r.holds(t, changes-1))
+	assert.Assert(t, r.hasDispatch(t, changes-1))
 }
 
-// Symptom: a change is acknowledged though the disk has failed. Sequence: a
-// sync fails; the process goes on and the next sync succeeds. The replica must
-// acknowledge nothing more and ask its process to stop.
-func TestDiskFailureStopsTheReplica(t *testing.T) {
+// Guards against acknowledging changes after a failed sync, even if a later sync succeeds.
+func TestDiskFailureStopsReplica(t *testing.T) {
 	var mu sync.Mutex
 	broken := false
 	disk := errors.New("input/output error")
@@ -173,7 +172,7 @@
 	mu.Lock()
 	broken = true
 	mu.Unlock()
-	_, err := r.node.Commit(context.Background(), dispatch(10))
+	_, err := r.node.Commit(context.Background(), openDispatchCommand(10))
 	assert.ErrorIs(t, err, node.ErrUncertain)
 	assert.ErrorIs(t, <-r.failed, disk)
 	mu.Lock()
@@ -181,14 +180,13 @@
 	mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
-	_, err = r.node.Commit(ctx, dispatch(11))
-	assert.Assert(t, err != nil, "a change was acknowledged after the disk had failed")
+	_, err = r.node.Commit(ctx, openDispatchCommand(11))
+	assert.Assert(t, err != nil, "a change was acknowledged after a disk failure")
 }
 
-// Symptom: a leader answers nothing and renews no lease for nine tenths of its time.
-// Sequence: one sync of milliseconds follows the other. Cause: the loop waited for
-// each. Nothing may be acknowledged earlier for that.
-func TestLoopGoesOnWhileTheDiskSyncs(t *testing.T) {
+// Guards against an event loop that blocks during syncs, and against acknowledging a change
+// before its sync is done.
+func TestEventLoopRunsDuringSync(t *testing.T) {
 	var slow atomic.Bool
 	begun, release := make(chan struct{}, 1), make(chan struct{})
 	r := start(t, t.TempDir(), walog.Options{Sync: func(f *os.File) error {
@@ -205,7 +203,7 @@
 	slow.Store(true)
 	committed := make(chan error, 1)
 	go func() {
-		_, err := r.node.Commit(context.Background(), dispatch(0))
+		_, err := r.node.Commit(context.Background(), openDispatchCommand(0))
 		committed <- err
 	}()
 	<-begun
@@ -213,10 +211,10 @@
 	defer cancel()
 	held := true
 	assert.NilError(t, r.node.Do(ctx, func() { held = r.node.Machine().Dispatch("account", "request-00000000") != nil }))
-	assert.Assert(t, !held, "a change is in the state before it is on the disk")
+	assert.Assert(t, !held, "a change was applied before it was on disk")
 	select {
 	case <-committed:
-		t.Fatal("a change was acknowledged before it was on the disk")
+		t.Fatal("a change was acknowledged before it was on disk")
 	default:
 	}
 	slow.Store(false)
@@ -237,8 +235,8 @@
 	return size
 }
 
-// BenchmarkRestart is the time from opening the folder to leading again, and
-// the size of the folder, after a number of changes.
+// BenchmarkRestart measures the time from opening the folder to leading again, and the size
+// of the folder, after a number of changes.
 func BenchmarkRestart(b *testing.B) {
 	for _, changes := range []int{1000, 100_000} {
 		b.Run(fmt.Sprintf("changes=%d", changes), func(b *testing.B) {
@@ -257,7 +255,7 @@
 	}
 }
 
-// BenchmarkCommit is the time of one change among 64 at a time, synced.
+// BenchmarkCommit measures the time per synced change with 64 changes in flight.
 func BenchmarkCommit(b *testing.B) {
 	r := start(b, b.TempDir(), walog.Options{})
 	defer r.stop(b)
--- a/internal/store/quorum/core.go
+++ b/internal/store/quorum/core.go
@@ -178,16 +178,16 @@
 
 // Take gives all that has become due since the last call.
 func (c *Core) Ready() Ready {
-	out := Ready{Snapshot: c.installed, Appends: c.early, Messages: c.messages}
+	rd := Ready{Snapshot: c.installed, Appends: c.early, Messages: c.messages}
 	if c.voteDirty {
-		out.Vote = &wire.Vote{Term: c.term, VotedFor: c.votedFor, ReplicaId: c.options.ID}
+		rd.Vote = &wire.Vote{Term: c.term, VotedFor: c.votedFor, ReplicaId: c.options.ID}
 	}
 	if c.firstUnsynced <= c.LastIndex() {
-		out.Entries = append(out.Entries, c.slice(c.firstUnsynced, c.LastIndex())...)
+		rd.Entries = append(rd.Entries, c.slice(c.firstUnsynced, c.LastIndex())...)
 	}
 	c.voteDirty, c.installed, c.early, c.messages = false, nil, nil, nil
 	c.firstUnsynced = c.LastIndex() + 1
-	return out
+	return rd
 }
 
 // NextAppends gives the leader's appends alone. Unlike Take it may be called while an
@@ -213,11 +213,11 @@
 
 // Synced says that the output's records are on disk. Only from then on does a
 // leader count itself among those that hold them.
-func (c *Core) Synced(out Ready) {
-	if len(out.Entries) == 0 {
+func (c *Core) Synced(rd Ready) {
+	if len(rd.Entries) == 0 {
 		return
 	}
-	last := out.Entries[len(out.Entries)-1]
+	last := rd.Entries[len(rd.Entries)-1]
 	if c.termAt(last.Index) != last.Term {
 		return // replaced meanwhile by records of another leader
 	}
