--- a/internal/store/quorum/core.go
+++ b/internal/store/quorum/core.go
@@ -1,15 +1,15 @@
-// This file defines Core, its construction and what it hands to its driver.
+// This file defines Core and the interface to its driver.
 
-// Package quorum is a replicated log: the rules by which control replicas
-// agree on one order of records, without disk, network or clock.
+// Package quorum implements the Raft consensus algorithm, without disk, network or clock.
 //
-// It follows Ongaro and Ousterhout, "In Search of an Understandable Consensus
-// Algorithm" (2014), with pre-vote, check-quorum, learners, one change of
-// membership at a time, and a round number on each heartbeat that confirms
-// leadership for reads and leases. Core is driven by one goroutine: it takes
-// messages, ticks and proposals, and Take gives what is to be synced, sent and
-// applied. The same inputs always give the same outputs, so that whole
-// clusters can be run in one process under seeded schedules.
+// It follows Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm"
+// (2014), with pre-vote, check-quorum, learners and single-server membership changes. Each
+// heartbeat carries a round number; acknowledged rounds confirm leadership for read index and
+// leader leases.
+//
+// Core is driven by one goroutine, which passes in messages, ticks and proposals and handles
+// what Ready returns. Core is deterministic, so that tests can run whole clusters in one
+// process under seeded schedules.
 package quorum
 
 import (
@@ -19,81 +19,78 @@
 )
 
 const (
-	// maxBatchRecords and maxBatchBytes bound one append message, so that a
-	// replica that is far behind is fed in parts that heartbeats fit between.
-	maxBatchRecords = 2048
+	// maxBatchEntries and maxBatchBytes limit one append message so that heartbeats aren't
+	// delayed while a follower catches up.
+	maxBatchEntries = 2048
 	maxBatchBytes   = 1 << 20
-	// maxInFlight bounds the records sent to a replica that hasn't answered.
-	maxInFlight = 16384
-	// maxBytesInFlight bounds their size. A replica that is cut off would else
-	// have all that is committed meanwhile queued for it: some 250 MB within
-	// ten seconds of large configurations, which is all the memory there is.
-	maxBytesInFlight = 4 << 20
-	// snapshotPatience is how many heartbeats a snapshot may take before it is
-	// sent again.
-	snapshotPatience = 20
+	// maxInflightEntries limits the entries sent to a replica and not yet acknowledged.
+	maxInflightEntries = 16384
+	// maxInflightBytes limits their size. Without it, everything committed while a replica
+	// is unreachable would be queued for it in memory.
+	maxInflightBytes = 4 << 20
+	// snapshotRetryHeartbeats is the number of heartbeats after which an unacknowledged
+	// snapshot is sent again.
+	snapshotRetryHeartbeats = 20
 )
 
 type (
-	// Role is the part a replica plays in its term.
+	// Role is the role of a replica in its current term.
 	Role int
 
-	// Options are fixed for the life of a Core. ID must not be 0.
+	// Options configures a Core and doesn't change during its life. ID must not be 0.
 	Options struct {
 		ID             uint64
 		ElectionTicks  int
 		HeartbeatTicks int
-		// Random gives a number in [0,n); it spreads election timeouts.
+		// Random returns a number in [0,n). It randomizes election timeouts.
 		Random func(n int) int
 	}
 
-	// Durable is what a replica has on its disk when it starts.
+	// DurableState is what a replica has on disk when it starts.
 	DurableState struct {
 		Vote     *wire.Vote
 		Snapshot *wire.Snapshot
 		Entries  []*wire.LogRecord
 	}
 
-	// Output is what the driver has to do, in this order: send Early, sync
-	// Vote, Snapshot and Records, call Synced, send Messages, restore
-	// Snapshot. While it syncs, Core may be given messages, ticks
-	// and proposals, but no other Output is taken: to all others a replica whose
-	// disk is slow is one whose messages are.
+	// Ready is the work for the driver, in this order: send Appends; sync Vote, Snapshot
+	// and Entries to disk; call Synced; send Messages; restore Snapshot. During the sync,
+	// Core accepts messages, ticks and proposals, but Ready must not be called again.
 	Ready struct {
 		Vote     *wire.Vote
 		Snapshot *wire.Snapshot
 		Entries  []*wire.LogRecord
-		// Early holds the leader's appends: they promise nothing about its
-		// own disk, so they may leave while it is being synced.
+		// Appends holds the leader's append and snapshot messages. They are valid before
+		// its own entries are on disk, so they may be sent during the sync.
 		Appends  []*wire.PeerMessage
 		Messages []*wire.PeerMessage
 	}
 
-	// progress is what a leader knows of another replica.
+	// progress is the leader's view of another replica.
 	progress struct {
 		match, next  uint64
-		round        uint64
+		ackedRound   uint64
 		recentActive bool
-		// silentTicks is how long ago the replica last answered.
-		silentTicks int
-		// probing is set by a refusal: what the replica holds isn't known until
-		// it accepts an empty append.
+		// ticksSinceResponse counts the ticks since the replica last responded.
+		ticksSinceResponse int
+		// probing is set by a rejection until the replica accepts an empty append, which
+		// shows where its log matches the leader's.
 		probing bool
-		// flights are the batches sent and not answered, bytesInFlight their
-		// size.
-		flights       []flight
-		bytesInFlight int
-		// snapshotRounds is for how many heartbeats a snapshot that was sent is
-		// still given time.
-		snapshotRounds int
+		// inflights are the batches sent and not yet acknowledged, inflightBytes their
+		// total size.
+		inflights     []inflightBatch
+		inflightBytes int
+		// snapshotHeartbeats is the number of heartbeats left until a snapshot in transit
+		// is sent again.
+		snapshotHeartbeats int
 	}
 
-	flight struct {
-		last  uint64
-		bytes int
+	inflightBatch struct {
+		lastIndex uint64
+		bytes     int
 	}
 
-	// Core is one replica's view of the log. It isn't safe for concurrent use.
+	// Core is the Raft state of one replica. It isn't safe for concurrent use.
 	Core struct {
 		options Options
 		role    Role
@@ -101,35 +98,36 @@
 		votedFor,
 		leader uint64
 
-		records  []*wire.LogRecord // those after the snapshot
-		snapshot *wire.Snapshot
-		members  *wire.Membership
-		// memberIndex is the position that members came from.
-		memberIndex uint64
+		entries    []*wire.LogRecord // those after snapshot
+		snapshot   *wire.Snapshot
+		membership *wire.Membership
+		// membershipIndex is the log index of the entry or snapshot that membership is
+		// from.
+		membershipIndex uint64
 
-		commit, applied, synced uint64
+		commitIndex, appliedIndex, syncedIndex uint64
 
 		peers map[uint64]*progress
 		votes map[uint64]bool
 		round uint64
-		// handover is the replica that leadership is being handed to, or 0.
-		handover      uint64
-		handoverTicks int
+		// transferee is the target of a leadership transfer in progress, or 0.
+		transferee    uint64
+		transferTicks int
 
-		electionElapsed, heartbeatElapsed, electionLimit int
-		// quietTicks is for how long after its start the replica gives no vote:
-		// it may have answered a leader just before, and that leader counts on
-		// no vote being given for an election timeout.
-		quietTicks int
+		electionElapsed, heartbeatElapsed, randomizedElectionTicks int
+		// noVoteTicks is the number of ticks during which a restarted replica grants no
+		// votes. It may have acknowledged a heartbeat just before the restart, and the
+		// leader's lease relies on no vote being granted for an election timeout.
+		noVoteTicks int
 
-		voteDirty       bool
-		installed       *wire.Snapshot
-		firstUnsynced   uint64
-		early, messages []*wire.PeerMessage
+		voteChanged       bool
+		pendingSnapshot   *wire.Snapshot // received and not yet returned by Ready
+		nextToPersist     uint64         // the first entry not yet returned by Ready
+		appends, messages []*wire.PeerMessage
 	}
 )
 
-// The roles a replica plays.
+// The roles of a replica.
 const (
 	Follower Role = iota
 	PreCandidate
@@ -137,7 +135,7 @@
 	Leader
 )
 
-// String names the role for status pages and logs.
+// String returns the name of the role for logs and status pages.
 func (r Role) String() string {
 	switch r {
 	case PreCandidate:
@@ -151,11 +149,11 @@
 	}
 }
 
-// New returns the replica that the durable state describes, as a follower.
+// New returns a follower that resumes from the durable state.
 func New(options Options, durable DurableState) *Core {
 	c := &Core{
 		options:  options,
-		records:  durable.Entries,
+		entries:  durable.Entries,
 		snapshot: durable.Snapshot,
 		peers:    map[uint64]*progress{},
 	}
@@ -165,115 +163,115 @@
 	if c.snapshot == nil {
 		c.snapshot = &wire.Snapshot{Membership: &wire.Membership{}}
 	}
-	c.commit, c.applied = c.snapshot.Index, c.snapshot.Index
-	c.synced = c.LastIndex()
-	c.firstUnsynced = c.synced + 1
-	c.refreshMembers()
+	c.commitIndex, c.appliedIndex = c.snapshot.Index, c.snapshot.Index
+	c.syncedIndex = c.LastIndex()
+	c.nextToPersist = c.syncedIndex + 1
+	c.reloadMembership()
 	c.becomeFollower(c.term, 0)
 	if c.term > 0 {
-		c.quietTicks = options.ElectionTicks
+		c.noVoteTicks = options.ElectionTicks
 	}
 	return c
 }
 
-// Take gives all that has become due since the last call.
+// Ready returns the work that has become due since the last call.
 func (c *Core) Ready() Ready {
-	rd := Ready{Snapshot: c.installed, Appends: c.early, Messages: c.messages}
-	if c.voteDirty {
+	rd := Ready{Snapshot: c.pendingSnapshot, Appends: c.appends, Messages: c.messages}
+	if c.voteChanged {
 		rd.Vote = &wire.Vote{Term: c.term, VotedFor: c.votedFor, ReplicaId: c.options.ID}
 	}
-	if c.firstUnsynced <= c.LastIndex() {
-		rd.Entries = append(rd.Entries, c.slice(c.firstUnsynced, c.LastIndex())...)
+	if c.nextToPersist <= c.LastIndex() {
+		rd.Entries = append(rd.Entries, c.entryRange(c.nextToPersist, c.LastIndex())...)
 	}
-	c.voteDirty, c.installed, c.early, c.messages = false, nil, nil, nil
-	c.firstUnsynced = c.LastIndex() + 1
+	c.voteChanged, c.pendingSnapshot, c.appends, c.messages = false, nil, nil, nil
+	c.nextToPersist = c.LastIndex() + 1
 	return rd
 }
 
-// NextAppends gives the leader's appends alone. Unlike Take it may be called while an
-// Output is synced: what it gives promises nothing about this replica's disk.
+// NextAppends returns the leader's pending append messages. Unlike Ready it may be called
+// while an earlier Ready is being synced, because they don't depend on this replica's disk.
 func (c *Core) NextAppends() []*wire.PeerMessage {
-	early := c.early
-	c.early = nil
+	early := c.appends
+	c.appends = nil
 	return early
 }
 
-// NextCommittedEntries gives the records to apply: those that are committed, are on this
-// replica's disk and weren't given before. Unlike Take it may be called while an
-// Output is synced.
+// NextCommittedEntries returns the entries to apply: those that are committed, are on this
+// replica's disk and weren't returned before. Unlike Ready it may be called while an
+// earlier Ready is being synced.
 func (c *Core) NextCommittedEntries() []*wire.LogRecord {
-	last := min(c.commit, c.synced)
-	if c.installed != nil || c.applied >= last {
+	last := min(c.commitIndex, c.syncedIndex)
+	if c.pendingSnapshot != nil || c.appliedIndex >= last {
 		return nil
 	}
-	committed := slices.Clone(c.slice(c.applied+1, last))
-	c.applied = last
+	committed := slices.Clone(c.entryRange(c.appliedIndex+1, last))
+	c.appliedIndex = last
 	return committed
 }
 
-// Synced says that the output's records are on disk. Only from then on does a
-// leader count itself among those that hold them.
+// Synced reports that the Ready is on disk. A leader counts its own copy of an entry
+// towards the majority only after this call.
 func (c *Core) Synced(rd Ready) {
 	if len(rd.Entries) == 0 {
 		return
 	}
 	last := rd.Entries[len(rd.Entries)-1]
 	if c.termAt(last.Index) != last.Term {
-		return // replaced meanwhile by records of another leader
+		return // overwritten by another leader's entries since
 	}
-	c.synced = max(c.synced, last.Index)
+	c.syncedIndex = max(c.syncedIndex, last.Index)
 	if c.role == Leader {
-		c.advanceCommit()
+		c.maybeCommit()
 	}
 }
 
-// Compact drops the records that the snapshot covers. The snapshot must hold
-// the state at a position already applied.
+// Compact discards the entries that the snapshot covers. The snapshot's index must have
+// been applied.
 func (c *Core) Compact(s *wire.Snapshot) {
 	if s.Index <= c.snapshot.Index {
 		return
 	}
-	kept := c.slice(s.Index+1, c.LastIndex())
-	c.records = append([]*wire.LogRecord(nil), kept...)
+	kept := c.entryRange(s.Index+1, c.LastIndex())
+	c.entries = append([]*wire.LogRecord(nil), kept...)
 	c.snapshot = s
 }
 
-// Status is a view of a replica for its driver and for operators.
+// Status describes a replica to its driver and to operators.
 type Status struct {
 	Role                    Role
 	Term, Leader            uint64
 	Commit, Applied, Synced uint64
 	FirstIndex, LastIndex   uint64
-	// Round is the last heartbeat round sent; ConfirmedRound the last one
-	// that a quorum of voters has answered.
+	// Round is the last heartbeat round sent; ConfirmedRound is the last one acknowledged
+	// by a quorum of voters.
 	Round, ConfirmedRound  uint64
 	TransferringLeadership bool
 }
 
-// Status returns the present view.
+// Status returns the current status.
 func (c *Core) Status() Status {
 	return Status{
 		Role: c.role, Term: c.term, Leader: c.leader,
-		Commit: c.commit, Applied: c.applied, Synced: c.synced,
+		Commit: c.commitIndex, Applied: c.appliedIndex, Synced: c.syncedIndex,
 		FirstIndex: c.snapshot.Index + 1, LastIndex: c.LastIndex(),
-		Round: c.round, ConfirmedRound: c.confirmedRound(), TransferringLeadership: c.handover != 0,
+		Round: c.round, ConfirmedRound: c.confirmedRound(), TransferringLeadership: c.transferee != 0,
 	}
 }
 
-// LastIndex is the position of the last record held.
+// LastIndex returns the index of the last log entry.
 func (c *Core) LastIndex() uint64 {
-	return c.snapshot.Index + uint64(len(c.records))
+	return c.snapshot.Index + uint64(len(c.entries))
 }
 
-func (c *Core) slice(from, to uint64) []*wire.LogRecord {
+func (c *Core) entryRange(from, to uint64) []*wire.LogRecord {
 	base := c.snapshot.Index + 1
 	if from > to {
 		return nil
 	}
-	return c.records[from-base : to-base+1]
+	return c.entries[from-base : to-base+1]
 }
 
-// termAt returns the term of the record at index, or 0 when it isn't held.
+// termAt returns the term of the entry at index, or 0 if the log doesn't contain it.
 func (c *Core) termAt(index uint64) uint64 {
 	switch {
 	case index == c.snapshot.Index:
@@ -281,6 +279,6 @@
 	case index < c.snapshot.Index || index > c.LastIndex():
 		return 0
 	default:
-		return c.records[index-c.snapshot.Index-1].Term
+		return c.entries[index-c.snapshot.Index-1].Term
 	}
 }
--- a/internal/store/quorum/elect.go
+++ b/internal/store/quorum/election.go
@@ -1,4 +1,4 @@
-// This file defines elections: timers, votes and handing over.
+// This file defines elections: timers, votes and leadership transfer.
 
 package quorum
 
@@ -6,19 +6,19 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// retryPart of an election timeout is the least time between two tries of one
-// replica to be elected.
-const retryPart = 4
+// campaignRetryDivisor sets the minimum time between two campaigns of a replica to this
+// fraction of the election timeout.
+const campaignRetryDivisor = 4
 
-// Tick tells that one tick of time has gone by.
+// Tick advances the logical clock by one tick.
 func (c *Core) Tick() {
 	c.electionElapsed++
-	c.quietTicks = max(c.quietTicks-1, 0)
+	c.noVoteTicks = max(c.noVoteTicks-1, 0)
 	if c.role == Leader {
 		c.tickLeader()
 		return
 	}
-	if c.electionElapsed >= c.electionLimit && c.isVoter(c.options.ID) {
+	if c.electionElapsed >= c.randomizedElectionTicks && c.isVoter(c.options.ID) {
 		c.campaign(PreCandidate, false)
 	}
 }
@@ -26,23 +26,22 @@
 func (c *Core) tickLeader() {
 	c.heartbeatElapsed++
 	for _, p := range c.peers {
-		p.silentTicks++
+		p.ticksSinceResponse++
 	}
 	if c.heartbeatElapsed >= c.options.HeartbeatTicks {
 		c.Heartbeat()
 	}
-	if c.handover != 0 {
-		c.handoverTicks++
-		if c.handoverTicks > c.options.ElectionTicks {
-			c.handover = 0 // the other never took over; serve on
+	if c.transferee != 0 {
+		c.transferTicks++
+		if c.transferTicks > c.options.ElectionTicks {
+			c.transferee = 0 // abort the transfer and accept proposals again
 		}
 	}
 	if c.electionElapsed < c.options.ElectionTicks {
 		return
 	}
 	c.electionElapsed = 0
-	// Check-quorum. An isolated leader would otherwise think for hours that
-	// it leads, and answer lists and leases from a past that has moved on.
+	// Check-quorum: an isolated leader steps down instead of serving stale data.
 	if !c.quorumActive() {
 		c.becomeFollower(c.term, 0)
 	}
@@ -62,19 +61,17 @@
 	return active >= c.majority()
 }
 
-// campaign stands for election. A pre-candidate first asks whether it could
-// win: without that, a replica that was cut off would come back with a term
-// grown high over the hours and depose a leader that serves well.
+// campaign starts an election, or a pre-election for a pre-candidate. Pre-vote prevents a
+// replica that was partitioned from returning with a higher term and deposing a healthy
+// leader.
 func (c *Core) campaign(role Role, handover bool) {
 	c.role = role
 	c.leader = 0
 	c.votes = map[uint64]bool{c.options.ID: true}
 	c.resetElectionTimer()
-	// No leader is known, so there is none to protect by waiting a whole timeout
-	// after a split vote or a refused pre-vote. Replicas that all start at once
-	// collide often; with whole timeouts between tries an election after a loss
-	// of all power took up to 3.1 s.
-	c.electionLimit = c.options.ElectionTicks/retryPart + c.options.Random(c.options.ElectionTicks)
+	// No leader is known, so the next campaign needn't wait for a full election timeout
+	// after a split vote. Replicas that all start at once collide often.
+	c.randomizedElectionTicks = c.options.ElectionTicks/campaignRetryDivisor + c.options.Random(c.options.ElectionTicks)
 	term, kind := c.term+1, wire.PeerMessageKind_PEER_MESSAGE_KIND_PRE_VOTE
 	if role == Candidate {
 		c.setTerm(term)
@@ -82,7 +79,7 @@
 		kind = wire.PeerMessageKind_PEER_MESSAGE_KIND_VOTE
 	}
 	if c.countVotes(true) >= c.majority() {
-		c.wonVotes()
+		c.electionWon()
 		return
 	}
 	for _, m := range c.voters() {
@@ -96,7 +93,7 @@
 	}
 }
 
-func (c *Core) wonVotes() {
+func (c *Core) electionWon() {
 	if c.role == PreCandidate {
 		c.campaign(Candidate, false)
 		return
@@ -118,27 +115,27 @@
 	if term > c.term {
 		c.setTerm(term)
 	}
-	c.role, c.leader, c.handover = Follower, leader, 0
+	c.role, c.leader, c.transferee = Follower, leader, 0
 	c.resetElectionTimer()
 }
 
 func (c *Core) setTerm(term uint64) {
-	c.term, c.votedFor, c.voteDirty = term, 0, true
+	c.term, c.votedFor, c.voteChanged = term, 0, true
 }
 
 func (c *Core) resetElectionTimer() {
 	c.electionElapsed = 0
-	c.electionLimit = c.options.ElectionTicks + c.options.Random(c.options.ElectionTicks)
+	c.randomizedElectionTicks = c.options.ElectionTicks + c.options.Random(c.options.ElectionTicks)
 }
 
 func (c *Core) becomeLeader() {
-	c.role, c.leader, c.handover = Leader, c.options.ID, 0
+	c.role, c.leader, c.transferee = Leader, c.options.ID, 0
 	c.electionElapsed, c.heartbeatElapsed = 0, 0
 	c.peers = map[uint64]*progress{}
 	c.syncPeers()
-	// A record of the new term, since only such a record may be committed by
-	// counting replicas; those before it are committed along with it.
-	c.appendLocal(&wire.LogRecord{})
+	// Only an entry of the current term may be committed by counting replicas; earlier
+	// entries are committed along with it.
+	c.appendEntry(&wire.LogRecord{})
 	c.Heartbeat()
 }
 
@@ -148,35 +145,34 @@
 	if pre {
 		kind = wire.PeerMessageKind_PEER_MESSAGE_KIND_PRE_VOTE_ANSWER
 	}
-	answer := &wire.PeerMessage{Kind: kind, To: m.From, Term: m.Term}
-	free := m.Term > c.term || (m.Term == c.term && (c.votedFor == 0 || c.votedFor == m.From))
-	answer.Reject = !free || !c.upToDate(m)
-	if answer.Reject {
-		answer.Term = max(c.term, 1)
+	resp := &wire.PeerMessage{Kind: kind, To: m.From, Term: m.Term}
+	canVote := m.Term > c.term || (m.Term == c.term && (c.votedFor == 0 || c.votedFor == m.From))
+	resp.Reject = !canVote || !c.logUpToDate(m)
+	if resp.Reject {
+		resp.Term = max(c.term, 1)
 	}
-	if !pre && !answer.Reject {
-		c.votedFor, c.voteDirty = m.From, true
+	if !pre && !resp.Reject {
+		c.votedFor, c.voteChanged = m.From, true
 		c.resetElectionTimer()
 	}
-	c.send(answer)
+	c.send(resp)
 }
 
-// hearsLeader tells whether a leader was heard within the shortest election
-// timeout. While that is so no vote is given, which is what lets a leader
-// treat its confirmed rounds as a lease.
-func (c *Core) hearsLeader() bool {
-	if c.role == Leader || c.quietTicks > 0 {
+// leaderActive reports whether this replica has heard from a leader within the minimum
+// election timeout. No vote is granted in that time, which is what leader leases rely on.
+func (c *Core) leaderActive() bool {
+	if c.role == Leader || c.noVoteTicks > 0 {
 		return true
 	}
 	return c.leader != 0 && c.electionElapsed < c.options.ElectionTicks
 }
 
-func (c *Core) upToDate(m *wire.PeerMessage) bool {
+func (c *Core) logUpToDate(m *wire.PeerMessage) bool {
 	last := c.termAt(c.LastIndex())
 	return m.LogTerm > last || (m.LogTerm == last && m.Index >= c.LastIndex())
 }
 
-func (c *Core) handleVoteAnswer(m *wire.PeerMessage) {
+func (c *Core) handleVoteResponse(m *wire.PeerMessage) {
 	pre := m.Kind == wire.PeerMessageKind_PEER_MESSAGE_KIND_PRE_VOTE_ANSWER
 	if (pre && c.role != PreCandidate) || (!pre && c.role != Candidate) {
 		return
@@ -186,16 +182,16 @@
 	}
 	c.votes[m.From] = !m.Reject
 	if c.countVotes(true) >= c.majority() {
-		c.wonVotes()
+		c.electionWon()
 	} else if c.countVotes(false) >= c.majority() {
 		c.becomeFollower(c.term, 0)
 	}
 }
 
-// Handover asks a caught-up voter to stand at once, so that a planned stop of
-// the leader costs a round trip and not an election timeout. From this call on
-// the leader must grant no leases, because the other may lead at any moment.
-// It returns false when there is none to hand over to.
+// TransferLeadership asks the most up-to-date active voter to start an election at once, so
+// that a planned stop of the leader doesn't cost an election timeout. From this call on the
+// leader must grant no leases, because the transferee may be elected at any moment. It
+// returns false if there is no candidate.
 func (c *Core) TransferLeadership() bool {
 	if c.role != Leader {
 		return false
@@ -213,15 +209,15 @@
 	if best == 0 {
 		return false
 	}
-	c.handover, c.handoverTicks = best, 0
-	c.tryHandover()
+	c.transferee, c.transferTicks = best, 0
+	c.maybeSendTimeoutNow()
 	return true
 }
 
-func (c *Core) tryHandover() {
-	p := c.peers[c.handover]
+func (c *Core) maybeSendTimeoutNow() {
+	p := c.peers[c.transferee]
 	if p == nil || p.match < c.LastIndex() {
 		return
 	}
-	c.send(&wire.PeerMessage{Kind: wire.PeerMessageKind_PEER_MESSAGE_KIND_TIMEOUT_NOW, To: c.handover, Term: c.term})
+	c.send(&wire.PeerMessage{Kind: wire.PeerMessageKind_PEER_MESSAGE_KIND_TIMEOUT_NOW, To: c.transferee, Term: c.term})
 }
--- a/internal/store/quorum/member.go
+++ b/internal/store/quorum/membership.go
@@ -1,4 +1,4 @@
-// This file defines changes of the membership.
+// This file defines membership changes.
 
 package quorum
 
@@ -11,34 +11,34 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// What can be wrong with a change of membership.
+// Errors returned by membership changes.
 var (
-	// ErrNotLeader: another replica leads, or none does.
+	// ErrNotLeader is returned when this replica isn't the leader.
 	ErrNotLeader = errors.New("quorum: not the leader")
-	// ErrChangePending: the last change, or this term's first record, isn't
-	// committed yet. Two changes under way could have majorities that share
-	// no replica.
+	// ErrChangePending is returned while the last membership change, or the first entry of
+	// this term, isn't committed. Two concurrent changes could have majorities without a
+	// common replica.
 	ErrChangePending = errors.New("quorum: a change of membership is pending")
-	// ErrUnknownMember: the change names a replica that isn't a member.
+	// ErrUnknownMember is returned when the named replica isn't a member.
 	ErrUnknownMember = errors.New("quorum: no such member")
-	// ErrLastVoter: the change would leave no voter.
+	// ErrLastVoter is returned when the change would leave no voters.
 	ErrLastVoter = errors.New("quorum: the last voter can't be removed")
-	// ErrLearnerNotReady: a learner may vote only once it holds nearly all records, or
-	// its vote would stop commitment until it does.
+	// ErrLearnerNotReady is returned when the learner lags too far behind to become a
+	// voter: its vote would block commits until it has caught up.
 	ErrLearnerNotReady = errors.New("quorum: learner is still behind")
 )
 
-// maxPromoteLag is how many records a learner may lack when it is promoted.
+// maxPromoteLag is the number of entries that a learner may lag behind when it is promoted.
 const maxPromoteLag = 64
 
-// Members returns the membership in force. It must not be changed.
+// Members returns the current membership. It must not be modified.
 func (c *Core) Members() *wire.Membership {
-	return c.members
+	return c.membership
 }
 
-// AddLearner adds a replica that gets all records but has no vote.
+// AddLearner adds a replica that receives all entries but has no vote.
 func (c *Core) AddLearner(m *wire.ControlMember) error {
-	return c.change(func(next *wire.Membership) error {
+	return c.proposeMembership(func(next *wire.Membership) error {
 		if findMember(next, m.ReplicaId) != nil {
 			return nil
 		}
@@ -49,9 +49,9 @@
 	})
 }
 
-// Promote gives a caught-up learner its vote.
+// Promote makes a caught-up learner a voter.
 func (c *Core) Promote(id uint64) error {
-	return c.change(func(next *wire.Membership) error {
+	return c.proposeMembership(func(next *wire.Membership) error {
 		if err := c.CaughtUp(id); err != nil {
 			return err
 		}
@@ -60,15 +60,14 @@
 	})
 }
 
-// Replace gives a caught-up learner the vote of a replica that will surely
-// never vote again, because its disk is gone. It is one change, so that the
-// number of voters, and with it the losses that are survived, never falls.
+// Replace gives a caught-up learner the vote of a replica that can never vote again because
+// its disk is lost. A single change keeps the number of voters, and so the number of
+// tolerated failures, constant.
 //
-// Majorities before and after the change need not share a replica if the old
-// identity still votes; since it doesn't, any two have one of the others in
-// common.
+// Majorities before and after the change would not need to overlap if the old replica still
+// voted. Since it doesn't, any two have another replica in common.
 func (c *Core) Replace(old, learner uint64) error {
-	return c.change(func(next *wire.Membership) error {
+	return c.proposeMembership(func(next *wire.Membership) error {
 		if err := c.CaughtUp(learner); err != nil {
 			return err
 		}
@@ -82,17 +81,17 @@
 	})
 }
 
-// TicksSinceResponse tells the leader how many ticks ago a replica last answered; 0
-// for itself and for replicas that it doesn't know.
+// TicksSinceResponse returns the number of ticks since a replica last responded to this
+// leader. It returns 0 for this replica and for unknown ones.
 func (c *Core) TicksSinceResponse(id uint64) int {
 	if p := c.peers[id]; p != nil && id != c.options.ID {
-		return p.silentTicks
+		return p.ticksSinceResponse
 	}
 	return 0
 }
 
-// CaughtUp tells whether a replica holds nearly all records: nil, or
-// ErrLearnerNotReady.
+// CaughtUp returns nil if a replica has nearly all entries, and ErrLearnerNotReady if it
+// doesn't.
 func (c *Core) CaughtUp(id uint64) error {
 	p := c.peers[id]
 	switch {
@@ -107,22 +106,22 @@
 	}
 }
 
-// Settled tells whether the last change of membership is committed: nil, or
-// ErrChangePending.
+// MembershipCommitted returns nil if the last membership change is committed, and
+// ErrChangePending if it isn't.
 func (c *Core) MembershipCommitted() error {
 	switch {
 	case c.role != Leader:
 		return ErrNotLeader
-	case c.memberIndex > c.commit:
+	case c.membershipIndex > c.commitIndex:
 		return ErrChangePending
 	default:
 		return nil
 	}
 }
 
-// Remove takes a replica out of the membership for good.
+// Remove removes a replica from the membership.
 func (c *Core) Remove(id uint64) error {
-	return c.change(func(next *wire.Membership) error {
+	return c.proposeMembership(func(next *wire.Membership) error {
 		if findMember(next, id) == nil {
 			return ErrUnknownMember
 		}
@@ -145,44 +144,44 @@
 	})
 }
 
-func (c *Core) change(edit func(*wire.Membership) error) error {
-	if c.role != Leader || c.handover != 0 {
+func (c *Core) proposeMembership(edit func(*wire.Membership) error) error {
+	if c.role != Leader || c.transferee != 0 {
 		return ErrNotLeader
 	}
-	if c.memberIndex > c.commit || c.termAt(c.commit) != c.term {
+	if c.membershipIndex > c.commitIndex || c.termAt(c.commitIndex) != c.term {
 		return ErrChangePending
 	}
-	next := proto.Clone(c.members).(*wire.Membership)
+	next := proto.Clone(c.membership).(*wire.Membership)
 	if err := edit(next); err != nil {
 		return err
 	}
-	if proto.Equal(next, c.members) {
+	if proto.Equal(next, c.membership) {
 		return nil
 	}
-	c.appendLocal(&wire.LogRecord{Membership: next})
-	c.broadcast(true)
+	c.appendEntry(&wire.LogRecord{Membership: next})
+	c.broadcastAppend(true)
 	return nil
 }
 
-// refreshMembers takes the last membership in the log, committed or not.
-func (c *Core) refreshMembers() {
-	c.members, c.memberIndex = c.snapshot.Membership, c.snapshot.Index
-	for i := len(c.records) - 1; i >= 0; i-- {
-		if r := c.records[i]; r.Membership != nil {
-			c.members, c.memberIndex = r.Membership, r.Index
+// reloadMembership sets the membership to the latest one in the log, committed or not.
+func (c *Core) reloadMembership() {
+	c.membership, c.membershipIndex = c.snapshot.Membership, c.snapshot.Index
+	for i := len(c.entries) - 1; i >= 0; i-- {
+		if r := c.entries[i]; r.Membership != nil {
+			c.membership, c.membershipIndex = r.Membership, r.Index
 			break
 		}
 	}
-	if c.members == nil {
-		c.members = &wire.Membership{}
+	if c.membership == nil {
+		c.membership = &wire.Membership{}
 	}
 	c.syncPeers()
 }
 
-// MembersAt returns the membership in force at a position that is held.
+// MembersAt returns the membership at a log index that hasn't been compacted.
 func (c *Core) MembersAt(index uint64) *wire.Membership {
-	for i := len(c.records) - 1; i >= 0; i-- {
-		if r := c.records[i]; r.Index <= index && r.Membership != nil {
+	for i := len(c.entries) - 1; i >= 0; i-- {
+		if r := c.entries[i]; r.Index <= index && r.Membership != nil {
 			return r.Membership
 		}
 	}
@@ -194,7 +193,7 @@
 		return
 	}
 	present := map[uint64]bool{}
-	for _, m := range c.members.Members {
+	for _, m := range c.membership.Members {
 		present[m.ReplicaId] = true
 		if c.peers[m.ReplicaId] == nil {
 			c.peers[m.ReplicaId] = &progress{next: c.LastIndex() + 1, recentActive: true}
@@ -209,7 +208,7 @@
 
 func (c *Core) voters() []*wire.ControlMember {
 	var voters []*wire.ControlMember
-	for _, m := range c.members.Members {
+	for _, m := range c.membership.Members {
 		if m.Voter {
 			voters = append(voters, m)
 		}
@@ -222,7 +221,7 @@
 }
 
 func (c *Core) isVoter(id uint64) bool {
-	m := findMember(c.members, id)
+	m := findMember(c.membership, id)
 	return m != nil && m.Voter
 }
 
--- a/internal/store/quorum/quorum_test.go
+++ b/internal/store/quorum/quorum_test.go
@@ -29,9 +29,9 @@
 	return usual
 }
 
-func assertSound(t *testing.T, seed uint64, s *sim) {
+func assertConsistent(t *testing.T, seed uint64, s *sim) {
 	t.Helper()
-	assert.Assert(t, len(s.broken) == 0, "seed %d: %v", seed, s.broken)
+	assert.Assert(t, len(s.violations) == 0, "seed %d: %v", seed, s.violations)
 	assert.Assert(t, s.linearizable(), "seed %d: the history isn't linearizable", seed)
 }
 
@@ -52,9 +52,9 @@
 		{"snapshots", 3, simFaults{crash: 0.004, restart: 0.05, drop: 0.05, cut: 0.01, heal: 0.01, snapshot: 0.02}},
 		{"members", 3, simFaults{crash: 0.002, restart: 0.05, drop: 0.02, snapshot: 0.01, replace: 0.05}},
 		{"lost disks", 5, simFaults{crash: 0.002, restart: 0.1, cut: 0.01, heal: 0.02, drop: 0.02, snapshot: 0.01, replace: 0.1, wipe: 0.005}},
-		{"slow disks", 3, simFaults{crash: 0.004, restart: 0.05, cut: 0.02, heal: 0.02, drop: 0.03, snapshot: 0.02, handover: 0.005, slowDisk: 0.6}},
+		{"slow disks", 3, simFaults{crash: 0.004, restart: 0.05, cut: 0.02, heal: 0.02, drop: 0.03, snapshot: 0.02, transfer: 0.005, slowDisk: 0.6}},
 		{"slow disks and members", 5, simFaults{crash: 0.002, restart: 0.1, cut: 0.01, heal: 0.02, drop: 0.02, snapshot: 0.01, replace: 0.1, wipe: 0.005, slowDisk: 0.4}},
-		{"everything", 5, simFaults{crash: 0.003, restart: 0.05, cut: 0.02, heal: 0.01, drop: 0.05, duplicate: 0.02, snapshot: 0.02, replace: 0.03, handover: 0.01}},
+		{"everything", 5, simFaults{crash: 0.003, restart: 0.05, cut: 0.02, heal: 0.01, drop: 0.05, duplicate: 0.02, snapshot: 0.02, replace: 0.03, transfer: 0.01}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -63,9 +63,9 @@
 			for seed := range uint64(seedsPerCase) {
 				s := newSim(seed, c.size, c.faults)
 				s.run(stepsPerSeed)
-				assertSound(t, seed, s)
+				assertConsistent(t, seed, s)
 				operations += len(s.operations)
-				wiped += s.wiped
+				wiped += s.wipedDisks
 			}
 			assert.Assert(t, c.faults.wipe == 0 || wiped > seedsPerCase/4, "only %d disks were lost", wiped)
 			assert.Assert(t, operations > seedsPerCase*10, "only %d operations: the schedules stop the cluster", operations)
@@ -75,13 +75,13 @@
 
 // The simulation must be able to find a broken disk: here a crash loses synced
 // records as well.
-func TestSimulationFindsLostRecords(t *testing.T) {
+func TestSimulationDetectsLostEntries(t *testing.T) {
 	found := 0
 	for seed := range uint64(40) {
 		s := newSim(seed, 3, simFaults{crash: 0.01, restart: 0.05})
-		s.forgetful = true
+		s.losesSynced = true
 		s.run(stepsPerSeed)
-		if len(s.broken) > 0 || !s.linearizable() {
+		if len(s.violations) > 0 || !s.linearizable() {
 			found++
 		}
 	}
@@ -90,22 +90,22 @@
 
 // Symptom: after faults end the cluster stays without a leader or replicas
 // differ for good. Every schedule must come to rest.
-func TestClusterComesToRest(t *testing.T) {
+func TestClusterConvergesAfterFaults(t *testing.T) {
 	for seed := range uint64(60) {
 		s := newSim(seed, 3, simFaults{crash: 0.004, restart: 0.05, cut: 0.02, heal: 0.01, drop: 0.05, snapshot: 0.02})
 		s.run(stepsPerSeed)
-		s.settle()
-		assertSound(t, seed, s)
+		s.stabilize()
+		assertConsistent(t, seed, s)
 		var applied, leaders uint64
 		for _, r := range s.replicas {
-			applied = max(applied, r.applied)
+			applied = max(applied, r.appliedIndex)
 			if r.core.Status().Role == quorum.Leader {
 				leaders++
 			}
 		}
 		assert.Equal(t, leaders, uint64(1), "seed %d", seed)
 		for id, r := range s.replicas {
-			assert.Assert(t, r.applied+5 >= applied, "seed %d: replica %d applied %d of %d", seed, id, r.applied, applied)
+			assert.Assert(t, r.appliedIndex+5 >= applied, "seed %d: replica %d applied %d of %d", seed, id, r.appliedIndex, applied)
 		}
 	}
 }
@@ -113,7 +113,7 @@
 func newTestCluster(t *testing.T) *sim {
 	t.Helper()
 	s := newSim(3, 3, simFaults{})
-	s.settle()
+	s.stabilize()
 	return s
 }
 
@@ -132,7 +132,7 @@
 // served all the while is deposed. Sequence: cut off, its election timer fires
 // again and again; reconnected, its messages bear a high term. Cause: terms
 // raised without asking whether an election could be won. Pre-vote prevents it.
-func TestIsolatedReplicaDoesNotDisturb(t *testing.T) {
+func TestIsolatedReplicaDoesNotDeposeLeader(t *testing.T) {
 	s := newTestCluster(t)
 	leader := leaderOf(t, s)
 	term := leader.core.Status().Term
@@ -147,7 +147,7 @@
 		isolated.core.Ready() // all it says is lost
 	}
 	assert.Equal(t, isolated.core.Status().Term, term)
-	s.settle()
+	s.stabilize()
 	assert.Equal(t, leaderOf(t, s).id, leader.id)
 	assert.Equal(t, leader.core.Status().Term, term)
 }
@@ -169,19 +169,19 @@
 // name; with it a majority forms that never saw the record. Cause: identity by
 // name. A new disk draws a new identity, and nothing sent to the old one or by
 // a stranger counts.
-func TestNewDiskHasNoVote(t *testing.T) {
+func TestReplicaWithNewIdentityHasNoVote(t *testing.T) {
 	s := newTestCluster(t)
 	leader := leaderOf(t, s)
-	stranger := quorum.New(quorum.Options{ID: 99, ElectionTicks: 10, HeartbeatTicks: 2, Random: func(int) int { return 0 }},
+	unknown := quorum.New(quorum.Options{ID: 99, ElectionTicks: 10, HeartbeatTicks: 2, Random: func(int) int { return 0 }},
 		quorum.DurableState{Snapshot: &wire.Snapshot{Membership: &wire.Membership{ClusterId: 9}}})
 	for range 100 {
-		stranger.Tick()
+		unknown.Tick()
 	}
-	assert.Equal(t, len(stranger.Ready().Messages), 0, "a replica that isn't a voter stands for election")
-	stranger.Step(&wire.PeerMessage{
+	assert.Equal(t, len(unknown.Ready().Messages), 0, "a replica that isn't a voter stands for election")
+	unknown.Step(&wire.PeerMessage{
 		Kind: wire.PeerMessageKind_PEER_MESSAGE_KIND_VOTE, From: 1, To: 2, Term: 50, ClusterId: 9,
 	})
-	assert.Equal(t, len(stranger.Ready().Messages), 0, "a message to the old identity is answered")
+	assert.Equal(t, len(unknown.Ready().Messages), 0, "a message to the old identity is answered")
 	_, confirmed := leader.core.Status().Round, leader.core.Status().ConfirmedRound
 	leader.core.Heartbeat()
 	leader.core.Step(&wire.PeerMessage{
@@ -192,7 +192,7 @@
 }
 
 // answer makes the acknowledgement of a follower.
-func answer(from uint64, leader *quorum.Core, index uint64) *wire.PeerMessage {
+func appendAck(from uint64, leader *quorum.Core, index uint64) *wire.PeerMessage {
 	return &wire.PeerMessage{
 		Kind: wire.PeerMessageKind_PEER_MESSAGE_KIND_APPEND_ANSWER, From: from, To: 1,
 		Term: leader.Status().Term, Index: index, ClusterId: 9,
@@ -200,7 +200,7 @@
 }
 
 // lead makes replica 1 of three the leader, with the given records on disk.
-func lead(t *testing.T, records []*wire.LogRecord) *quorum.Core {
+func electLeader(t *testing.T, records []*wire.LogRecord) *quorum.Core {
 	t.Helper()
 	membership := &wire.Membership{ClusterId: 9}
 	for id := uint64(1); id <= 3; id++ {
@@ -223,10 +223,10 @@
 // Symptom: an acknowledged change is gone after one replica crashed. Sequence:
 // the leader counts itself among the holders before its own sync is done, and
 // crashes. Only Synced may make its copy count.
-func TestLeaderCountsItselfOnlyOnceSynced(t *testing.T) {
-	c := lead(t, nil)
+func TestLeaderCountsItselfOnlyAfterSync(t *testing.T) {
+	c := electLeader(t, nil)
 	out := c.Ready()
-	c.Step(answer(2, c, 1))
+	c.Step(appendAck(2, c, 1))
 	assert.Equal(t, c.Status().Commit, uint64(0))
 	c.Synced(out)
 	assert.Equal(t, c.Status().Commit, uint64(1))
@@ -236,7 +236,7 @@
 // gone there. Sequence: a snapshot is sent and is late; appends from another message
 // fill the same gap and go beyond; then the snapshot arrives. Cause: it replaced
 // all records, those behind it too.
-func TestLateSnapshotKeepsWhatFollows(t *testing.T) {
+func TestStaleSnapshotKeepsLaterEntries(t *testing.T) {
 	membership := &wire.Membership{ClusterId: 9, Members: []*wire.ControlMember{{ReplicaId: 1, Voter: true}, {ReplicaId: 2, Voter: true}}}
 	c := quorum.New(quorum.Options{ID: 1, ElectionTicks: 10, HeartbeatTicks: 2, Random: func(int) int { return 0 }},
 		quorum.DurableState{Vote: &wire.Vote{Term: 1}, Snapshot: &wire.Snapshot{Membership: membership}})
@@ -261,17 +261,17 @@
 // paper). Sequence: a new leader finds a record of an old term on a majority
 // and calls it committed; another leader, elected with a later record, removes
 // it. Cause: only a record of the leader's own term may be counted.
-func TestOldTermIsNotCommittedByCounting(t *testing.T) {
-	c := lead(t, []*wire.LogRecord{{Index: 1, Term: 1}})
+func TestEntryOfOldTermIsNotCommittedByCounting(t *testing.T) {
+	c := electLeader(t, []*wire.LogRecord{{Index: 1, Term: 1}})
 	c.Synced(c.Ready())
-	c.Step(answer(2, c, 1))
+	c.Step(appendAck(2, c, 1))
 	assert.Equal(t, c.Status().Commit, uint64(0))
-	c.Step(answer(2, c, 2))
+	c.Step(appendAck(2, c, 2))
 	assert.Equal(t, c.Status().Commit, uint64(2))
 }
 
-// recordBytes is the size of the records in the messages to one replica.
-func recordBytes(messages []*wire.PeerMessage, to uint64) int {
+// entryBytes is the size of the records in the messages to one replica.
+func entryBytes(messages []*wire.PeerMessage, to uint64) int {
 	size := 0
 	for _, m := range messages {
 		if m.To != to {
@@ -284,7 +284,7 @@
 	return size
 }
 
-func bigCommand() *wire.Command {
+func largeCommand() *wire.Command {
 	return &wire.Command{Body: &wire.Command_Quarantine{Quarantine: &wire.Quarantine{Reason: strings.Repeat("x", 40<<10)}}}
 }
 
@@ -293,46 +293,46 @@
 // lost; each of those behind it is refused, and each refusal has all records
 // since sent again. Cause: refusals that were under way already counted like
 // the first.
-func TestRefusalsOfOneLossResendOnce(t *testing.T) {
-	c := lead(t, nil)
+func TestRejectionsAfterOneLossResendOnce(t *testing.T) {
+	c := electLeader(t, nil)
 	c.Synced(c.Ready())
-	c.Step(answer(2, c, 1))
-	c.Step(answer(3, c, 1))
+	c.Step(appendAck(2, c, 1))
+	c.Step(appendAck(3, c, 1))
 	c.Ready()
 	const lost = 50
 	for range lost {
-		c.Propose([]*wire.Command{bigCommand()})
+		c.Propose([]*wire.Command{largeCommand()})
 		c.Synced(c.Ready())
 	}
 	resent := 0
 	for i := range uint64(lost - 1) {
-		refusal := answer(2, c, 1)
+		refusal := appendAck(2, c, 1)
 		refusal.Reject, refusal.AskedIndex = true, i+2
 		c.Step(refusal)
-		resent += recordBytes(c.Ready().Appends, 2)
+		resent += entryBytes(c.Ready().Appends, 2)
 	}
-	accepted := answer(2, c, 1)
+	accepted := appendAck(2, c, 1)
 	accepted.AskedIndex = 1
 	c.Step(accepted)
-	resent += recordBytes(c.Ready().Appends, 2)
+	resent += entryBytes(c.Ready().Appends, 2)
 	assert.Assert(t, resent > 0, "nothing was sent again")
 	assert.Assert(t, resent < 2*lost*(41<<10), "%d bytes were sent again for %d bytes lost", resent, lost*(40<<10))
 }
 
 // Symptom: as above, while a follower is cut off and answers nothing. Cause: no
 // bound on the bytes that are under way to it.
-func TestBytesInFlightAreBounded(t *testing.T) {
-	c := lead(t, nil)
+func TestInflightBytesAreBounded(t *testing.T) {
+	c := electLeader(t, nil)
 	c.Synced(c.Ready())
-	c.Step(answer(2, c, 1))
+	c.Step(appendAck(2, c, 1))
 	c.Ready()
 	sent := 0
 	for i := range uint64(1000) {
-		c.Propose([]*wire.Command{bigCommand()})
+		c.Propose([]*wire.Command{largeCommand()})
 		out := c.Ready()
 		c.Synced(out)
-		sent += recordBytes(out.Appends, 3)
-		c.Step(answer(2, c, i+2))
+		sent += entryBytes(out.Appends, 3)
+		c.Step(appendAck(2, c, i+2))
 		c.Ready()
 	}
 	assert.Assert(t, sent < 6<<20, "%d bytes are under way to a silent replica", sent)
@@ -343,7 +343,7 @@
 // round gives for most of an election timeout. Sequence: a voter answers the
 // leader's round, restarts at once, and gives its vote to another. Cause: with
 // its memory it lost that it had just heard a leader.
-func TestRestartedVoterKeepsQuiet(t *testing.T) {
+func TestRestartedVoterGrantsNoVote(t *testing.T) {
 	membership := &wire.Membership{ClusterId: 9}
 	for id := uint64(1); id <= 3; id++ {
 		membership.Members = append(membership.Members, &wire.ControlMember{ReplicaId: id, Voter: true})
@@ -368,7 +368,7 @@
 	assert.Assert(t, granted())
 }
 
-func TestMembershipRefusals(t *testing.T) {
+func TestMembershipErrors(t *testing.T) {
 	s := newTestCluster(t)
 	leader := leaderOf(t, s)
 	cases := []struct {
--- a/internal/store/quorum/sim_test.go
+++ b/internal/store/quorum/sim_test.go
@@ -17,7 +17,7 @@
 
 // simFaults are probabilities, per step unless said otherwise.
 type simFaults struct {
-	crash, restart, cut, heal, drop, duplicate, snapshot, replace, handover float64
+	crash, restart, cut, heal, drop, duplicate, snapshot, replace, transfer float64
 	// wipe loses a replica with its disk, for good; no further one until it is
 	// replaced.
 	wipe float64
@@ -50,9 +50,9 @@
 		waiters map[uint64]simWaiter
 		reads   []simRead
 		// writing is what is being synced; nil when nothing is.
-		writing *quorum.Ready
-		applied uint64
-		inTerm  uint64
+		persisting   *quorum.Ready
+		appliedIndex uint64
+		appliedTerm  uint64
 	}
 
 	// sim is a cluster whose every step is drawn from one seed.
@@ -62,27 +62,27 @@
 		replicas map[uint64]*simReplica // those that are up
 		down     map[uint64]simDisk
 		network  []*wire.PeerMessage
-		cuts     map[[2]uint64]bool
+		cutLinks map[[2]uint64]bool
 		nextID   uint64
 
-		committed map[uint64]*wire.LogRecord
-		leaders   map[uint64]uint64 // term to replica
-		broken    []string
-		wiped     int
+		committed  map[uint64]*wire.LogRecord
+		leaders    map[uint64]uint64 // term to replica
+		violations []string
+		wipedDisks int
 
 		step       int64
 		operations []porcupine.Operation
 		clients    int
 		// forgetful makes crashes lose synced records too: the fault that the
 		// simulation must be able to find.
-		forgetful bool
+		losesSynced bool
 	}
 )
 
 func newSim(seed uint64, size int, faults simFaults) *sim {
 	s := &sim{
 		random: rand.New(rand.NewPCG(seed, 7)), faults: faults, nextID: 1,
-		replicas: map[uint64]*simReplica{}, down: map[uint64]simDisk{}, cuts: map[[2]uint64]bool{},
+		replicas: map[uint64]*simReplica{}, down: map[uint64]simDisk{}, cutLinks: map[[2]uint64]bool{},
 		committed: map[uint64]*wire.LogRecord{}, leaders: map[uint64]uint64{},
 	}
 	founding := &wire.Membership{ClusterId: 9}
@@ -101,7 +101,7 @@
 	if len(disk.snapshot.State) > 0 {
 		s.check(r.machine.Load(disk.snapshot.State) == nil, "replica %d: snapshot can't be loaded", id)
 	}
-	r.applied, r.inTerm = disk.snapshot.Index, disk.snapshot.Term
+	r.appliedIndex, r.appliedTerm = disk.snapshot.Index, disk.snapshot.Term
 	r.core = quorum.New(quorum.Options{
 		ID: id, ElectionTicks: 10, HeartbeatTicks: 2, Random: s.random.IntN,
 	}, quorum.DurableState{Vote: disk.vote, Snapshot: disk.snapshot, Entries: slices.Clone(disk.records)})
@@ -111,14 +111,14 @@
 
 func (s *sim) check(ok bool, format string, args ...any) {
 	if !ok {
-		s.broken = append(s.broken, fmt.Sprintf("step %d: ", s.step)+fmt.Sprintf(format, args...))
+		s.violations = append(s.violations, fmt.Sprintf("step %d: ", s.step)+fmt.Sprintf(format, args...))
 	}
 }
 
 func (s *sim) chance(p float64) bool { return s.random.Float64() < p }
 
 // pick gives a random replica that is up, in an order that the seed fixes.
-func (s *sim) pick() *simReplica {
+func (s *sim) randomReplica() *simReplica {
 	ids := make([]uint64, 0, len(s.replicas))
 	for id := range s.replicas {
 		ids = append(ids, id)
@@ -133,13 +133,13 @@
 func (s *sim) run(steps int) {
 	for range steps {
 		s.step++
-		s.disturb()
-		if r := s.pick(); r != nil {
+		s.injectFaults()
+		if r := s.randomReplica(); r != nil {
 			if s.chance(0.3) {
 				r.core.Tick()
 			}
-			s.act(r)
-			s.flush(r)
+			s.runClients(r)
+			s.processReady(r)
 		}
 		for range s.random.IntN(4) {
 			s.deliver()
@@ -148,9 +148,9 @@
 }
 
 // settle ends all faults and lets the cluster come to rest.
-func (s *sim) settle() {
+func (s *sim) stabilize() {
 	s.faults = simFaults{}
-	clear(s.cuts)
+	clear(s.cutLinks)
 	ids := make([]uint64, 0, len(s.down))
 	for id := range s.down {
 		ids = append(ids, id)
@@ -161,20 +161,20 @@
 	}
 	for range 4000 {
 		s.step++
-		r := s.pick()
+		r := s.randomReplica()
 		if s.chance(0.3) {
 			r.core.Tick()
 		}
-		s.flush(r)
+		s.processReady(r)
 		for range 4 {
 			s.deliver()
 		}
 	}
 }
 
-func (s *sim) disturb() {
+func (s *sim) injectFaults() {
 	if s.chance(s.faults.crash) {
-		if r := s.pick(); r != nil {
+		if r := s.randomReplica(); r != nil {
 			s.crash(r)
 		}
 	}
@@ -190,13 +190,13 @@
 		}
 	}
 	if s.chance(s.faults.cut) {
-		a, b := s.pick(), s.pick()
+		a, b := s.randomReplica(), s.randomReplica()
 		if a != nil && a != b {
-			s.cuts[[2]uint64{a.id, b.id}] = true
+			s.cutLinks[[2]uint64{a.id, b.id}] = true
 		}
 	}
 	if s.chance(s.faults.heal) {
-		clear(s.cuts)
+		clear(s.cutLinks)
 	}
 	if s.chance(s.faults.wipe) {
 		s.wipe()
@@ -206,18 +206,18 @@
 // wipe loses a replica and its disk unless an earlier loss may still count: as
 // long as any replica, also one that is down, takes the lost one for a voter.
 func (s *sim) wipe() {
-	r := s.pick()
+	r := s.randomReplica()
 	if r == nil || len(s.down) > 0 {
 		return
 	}
 	for _, other := range s.replicas {
-		if _, lost := s.lostForGood(other.core.Members().GetMembers()); lost {
+		if _, lost := s.permanentlyLost(other.core.Members().GetMembers()); lost {
 			return
 		}
 	}
 	s.crash(r)
 	delete(s.down, r.id)
-	s.wiped++
+	s.wipedDisks++
 }
 
 func (s *sim) crash(r *simReplica) {
@@ -227,7 +227,7 @@
 	for _, read := range r.reads {
 		read.done(0, false)
 	}
-	if s.forgetful && len(r.disk.records) > 0 {
+	if s.losesSynced && len(r.disk.records) > 0 {
 		r.disk.records = r.disk.records[:len(r.disk.records)/2]
 	}
 	delete(s.replicas, r.id)
@@ -254,21 +254,21 @@
 		s.network = append(s.network, m)
 	}
 	r := s.replicas[m.To]
-	if r == nil || s.cuts[[2]uint64{m.From, m.To}] || s.chance(s.faults.drop) {
+	if r == nil || s.cutLinks[[2]uint64{m.From, m.To}] || s.chance(s.faults.drop) {
 		return
 	}
 	// What crosses a network is a copy.
 	r.core.Step(proto.Clone(m).(*wire.PeerMessage))
-	s.flush(r)
+	s.processReady(r)
 }
 
 // flush does what the node does with a replica's output, and may crash
 // between any two of its steps, which loses what wasn't synced.
-func (s *sim) flush(r *simReplica) {
-	if r.writing == nil {
+func (s *sim) processReady(r *simReplica) {
+	if r.persisting == nil {
 		out := r.core.Ready()
 		s.network = append(s.network, out.Appends...)
-		r.writing = &out
+		r.persisting = &out
 	}
 	if s.chance(s.faults.crash) {
 		s.crash(r)
@@ -279,11 +279,11 @@
 			s.network = append(s.network, r.core.NextAppends()...)
 		}
 		s.applyAll(r, r.core.NextCommittedEntries())
-		s.afterFlush(r)
+		s.afterReady(r)
 		return
 	}
-	out := *r.writing
-	r.writing = nil
+	out := *r.persisting
+	r.persisting = nil
 	if out.Vote != nil {
 		r.disk.vote = out.Vote
 	}
@@ -298,14 +298,14 @@
 		return
 	}
 	r.core.Synced(out)
-	s.checkPromises(r, out.Messages)
+	s.checkResponses(r, out.Messages)
 	s.network = append(s.network, out.Messages...)
 	if out.Snapshot != nil {
 		s.check(r.machine.Load(out.Snapshot.State) == nil, "replica %d: snapshot can't be loaded", r.id)
-		r.applied, r.inTerm = out.Snapshot.Index, out.Snapshot.Term
+		r.appliedIndex, r.appliedTerm = out.Snapshot.Index, out.Snapshot.Term
 	}
 	s.applyAll(r, r.core.NextCommittedEntries())
-	s.afterFlush(r)
+	s.afterReady(r)
 }
 
 func (s *sim) applyAll(r *simReplica, records []*wire.LogRecord) {
@@ -314,13 +314,13 @@
 	}
 }
 
-// checkPromises finds answers that promise what isn't on the disk. Several messages
+// checkResponses finds answers that promise what isn't on the disk. Several messages
 // may have been taken before one write: seed 5 of slow disks has a vote for one term
 // and then for the next (step 1113), seed 72 of slow disks and members a record
 // acknowledged and then replaced by the next term's leader (step 833). What is on the
 // disk then is what it would be had each been written by itself, the later term
 // included, so that nothing of the earlier one is promised any more.
-func (s *sim) checkPromises(r *simReplica, messages []*wire.PeerMessage) {
+func (s *sim) checkResponses(r *simReplica, messages []*wire.PeerMessage) {
 	for _, m := range messages {
 		switch {
 		case r.disk.vote.GetTerm() > m.Term:
@@ -348,7 +348,7 @@
 }
 
 func (s *sim) apply(r *simReplica, record *wire.LogRecord) {
-	s.check(record.Index == r.applied+1, "replica %d applies %d after %d", r.id, record.Index, r.applied)
+	s.check(record.Index == r.appliedIndex+1, "replica %d applies %d after %d", r.id, record.Index, r.appliedIndex)
 	if known := s.committed[record.Index]; known == nil {
 		s.committed[record.Index] = record
 	} else {
@@ -358,7 +358,7 @@
 	if record.Command != nil {
 		result = r.machine.Apply(record.Command)
 	}
-	r.applied, r.inTerm = record.Index, record.Term
+	r.appliedIndex, r.appliedTerm = record.Index, record.Term
 	if w, ok := r.waiters[record.Index]; ok {
 		delete(r.waiters, record.Index)
 		if w.term == record.Term {
@@ -369,7 +369,7 @@
 	}
 }
 
-func (s *sim) afterFlush(r *simReplica) {
+func (s *sim) afterReady(r *simReplica) {
 	status := r.core.Status()
 	if status.Role == quorum.Leader {
 		if other, ok := s.leaders[status.Term]; ok {
@@ -382,14 +382,14 @@
 		switch {
 		case status.Role != quorum.Leader:
 			read.done(0, false)
-		case status.ConfirmedRound >= read.round && r.applied >= read.index:
+		case status.ConfirmedRound >= read.round && r.appliedIndex >= read.index:
 			read.done(r.machine.Configuration().Version, true)
 		default:
 			kept = append(kept, read)
 		}
 	}
 	r.reads = kept
-	if r.applied > status.FirstIndex && s.chance(s.faults.snapshot) {
+	if r.appliedIndex > status.FirstIndex && s.chance(s.faults.snapshot) {
 		s.snapshot(r)
 	}
 }
@@ -398,8 +398,8 @@
 	data, err := r.machine.Save()
 	s.check(err == nil, "replica %d: state can't be saved", r.id)
 	snapshot := &wire.Snapshot{
-		Index: r.applied, Term: r.inTerm, State: data,
-		Membership: proto.Clone(r.core.MembersAt(r.applied)).(*wire.Membership),
+		Index: r.appliedIndex, Term: r.appliedTerm, State: data,
+		Membership: proto.Clone(r.core.MembersAt(r.appliedIndex)).(*wire.Membership),
 	}
 	r.core.Compact(snapshot)
 	r.disk.snapshot = snapshot
@@ -409,12 +409,12 @@
 }
 
 // act lets clients and operators do something at a replica.
-func (s *sim) act(r *simReplica) {
+func (s *sim) runClients(r *simReplica) {
 	status := r.core.Status()
-	if status.Role != quorum.Leader || r.inTerm != status.Term {
+	if status.Role != quorum.Leader || r.appliedTerm != status.Term {
 		return
 	}
-	if s.chance(s.faults.handover) {
+	if s.chance(s.faults.transfer) {
 		r.core.TransferLeadership()
 	}
 	if s.chance(s.faults.replace) {
@@ -431,8 +431,8 @@
 	}
 }
 
-// lostForGood returns a voter that surely never votes again: its disk is gone.
-func (s *sim) lostForGood(members []*wire.ControlMember) (uint64, bool) {
+// permanentlyLost returns a voter that surely never votes again: its disk is gone.
+func (s *sim) permanentlyLost(members []*wire.ControlMember) (uint64, bool) {
 	for _, m := range members {
 		_, asleep := s.down[m.ReplicaId]
 		if m.Voter && !asleep && s.replicas[m.ReplicaId] == nil {
@@ -451,14 +451,14 @@
 		if m.Voter {
 			continue
 		}
-		if old, ok := s.lostForGood(members); ok {
+		if old, ok := s.permanentlyLost(members); ok {
 			_ = r.core.Replace(old, m.ReplicaId)
 			return
 		}
 		_ = r.core.Promote(m.ReplicaId)
 		return
 	}
-	_, lost := s.lostForGood(members)
+	_, lost := s.permanentlyLost(members)
 	if lost || len(members) < 5 && s.chance(0.6) {
 		id := s.nextID
 		if r.core.AddLearner(&wire.ControlMember{ReplicaId: id}) == nil {
