--- a/internal/store/quorum/linearizability_test.go
+++ b/internal/store/quorum/linearizability_test.go
@@ -1,5 +1,4 @@
-// This file defines the simulated clients and the model their history is
-// checked against.
+// This file defines the simulated clients and the check that their history is linearizable.
 
 package quorum_test
 
@@ -26,8 +25,8 @@
 	}
 )
 
-// write is a compare-and-set of the configuration's version, as operators who
-// race do it.
+// write performs a compare-and-set on the configuration version, as concurrent operators
+// do.
 func (s *sim) write(r *simReplica) {
 	expected := r.machine.Configuration().Version
 	if s.chance(0.2) && expected > 0 {
@@ -65,14 +64,14 @@
 func (s *sim) record(client int, began int64, in simInput, out simOutput) {
 	ended := s.step
 	if !out.known {
-		ended = 1 << 60 // it may take effect at any later time, or never
+		ended = 1 << 60 // may take effect at any later time, or never
 	}
 	s.operations = append(s.operations, porcupine.Operation{
 		ClientId: client, Input: in, Output: out, Call: 2 * began, Return: 2*ended + 1,
 	})
 }
 
-// registerModel is a register that counts versions.
+// registerModel is a sequential specification of the configuration version.
 var registerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{uint64(0)} },
 	Step: func(st, input, output any) []any {
@@ -98,7 +97,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// linearizable checks the history. Writes still open at the end may have
+// linearizable checks the recorded history. Writes without a result may or may not have
 // taken effect.
 func (s *sim) linearizable() bool {
 	for _, id := range sortedKeys(s.replicas) {
--- a/internal/store/quorum/quorum_test.go
+++ b/internal/store/quorum/quorum_test.go
@@ -18,8 +18,8 @@
 
 const stepsPerSeed = 1500
 
-// seedsPerCase is how many schedules CI plays of each case, seed 72 among them, which is kept
-// as a regression test. More are played by hand with SYCAMOREDECK_SEEDS.
+// seedsPerCase is the number of schedules per test case. It includes seed 72, a regression
+// test. SYCAMOREDECK_SEEDS overrides it for longer runs.
 var seedsPerCase = seedCount(150)
 
 func seedCount(usual int) int {
@@ -35,12 +35,9 @@
 	assert.Assert(t, s.linearizable(), "seed %d: the history isn't linearizable", seed)
 }
 
-// Symptom: operators see a configuration revert, or two of them are both told
-// that they won. Sequence: replicas crash between any two steps of a turn and
-// lose what wasn't synced; messages are lost, doubled, late and out of order;
-// links are cut one way; leaders hand over; members are replaced. Cause, where
-// it fails: a vote or record promised before it was on disk, a commitment
-// counted over the wrong majority, or a read by a leader of the past.
+// Guards against lost or conflicting committed entries and stale reads under crashes,
+// message loss, reordering and duplication, one-way partitions, leadership transfers and
+// membership changes.
 func TestClusterUnderFaults(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -68,13 +65,13 @@
 				wiped += s.wipedDisks
 			}
 			assert.Assert(t, c.faults.wipe == 0 || wiped > seedsPerCase/4, "only %d disks were lost", wiped)
-			assert.Assert(t, operations > seedsPerCase*10, "only %d operations: the schedules stop the cluster", operations)
+			assert.Assert(t, operations > seedsPerCase*10, "only %d operations: the schedules leave the cluster unavailable", operations)
 		})
 	}
 }
 
-// The simulation must be able to find a broken disk: here a crash loses synced
-// records as well.
+// Guards against a simulation that can't detect faults: here crashes also lose synced
+// entries.
 func TestSimulationDetectsLostEntries(t *testing.T) {
 	found := 0
 	for seed := range uint64(40) {
@@ -88,8 +85,8 @@
 	assert.Assert(t, found > 0)
 }
 
-// Symptom: after faults end the cluster stays without a leader or replicas
-// differ for good. Every schedule must come to rest.
+// Guards against a cluster that stays without a leader, or whose replicas stay behind,
+// after faults have ended.
 func TestClusterConvergesAfterFaults(t *testing.T) {
 	for seed := range uint64(60) {
 		s := newSim(seed, 3, simFaults{crash: 0.004, restart: 0.05, cut: 0.02, heal: 0.01, drop: 0.05, snapshot: 0.02})
@@ -128,10 +125,8 @@
 	return nil
 }
 
-// Symptom: a replica that was cut off for hours comes back and the leader that
-// served all the while is deposed. Sequence: cut off, its election timer fires
-// again and again; reconnected, its messages bear a high term. Cause: terms
-// raised without asking whether an election could be won. Pre-vote prevents it.
+// Guards against a replica that raises its term while partitioned and deposes a healthy
+// leader on its return. Pre-vote prevents it.
 func TestIsolatedReplicaDoesNotDeposeLeader(t *testing.T) {
 	s := newTestCluster(t)
 	leader := leaderOf(t, s)
@@ -144,7 +139,7 @@
 	}
 	for range 10000 {
 		isolated.core.Tick()
-		isolated.core.Ready() // all it says is lost
+		isolated.core.Ready() // drops its messages
 	}
 	assert.Equal(t, isolated.core.Status().Term, term)
 	s.stabilize()
@@ -152,8 +147,8 @@
 	assert.Equal(t, leader.core.Status().Term, term)
 }
 
-// Symptom: an isolated leader answers for hours from a past that has moved on.
-// Check-quorum makes it step down within an election timeout or two.
+// Guards against an isolated leader that keeps serving stale data. Check-quorum makes it
+// step down.
 func TestIsolatedLeaderStepsDown(t *testing.T) {
 	s := newTestCluster(t)
 	leader := leaderOf(t, s)
@@ -164,11 +159,9 @@
 	assert.Assert(t, leader.core.Status().Role != quorum.Leader)
 }
 
-// Symptom: a committed record is gone after a disk was lost. Sequence: a
-// replica that acknowledged a record loses its disk and votes again under its
-// name; with it a majority forms that never saw the record. Cause: identity by
-// name. A new disk draws a new identity, and nothing sent to the old one or by
-// a stranger counts.
+// Guards against a replica that lost its disk voting again under its old identity, which
+// could elect a leader without a committed entry. A new disk has a new identity; messages
+// to the old one or from a non-member don't count.
 func TestReplicaWithNewIdentityHasNoVote(t *testing.T) {
 	s := newTestCluster(t)
 	leader := leaderOf(t, s)
@@ -177,21 +170,21 @@
 	for range 100 {
 		unknown.Tick()
 	}
-	assert.Equal(t, len(unknown.Ready().Messages), 0, "a replica that isn't a voter stands for election")
+	assert.Equal(t, len(unknown.Ready().Messages), 0, "a replica that isn't a voter started an election")
 	unknown.Step(&wire.PeerMessage{
 		Kind: wire.PeerMessageKind_PEER_MESSAGE_KIND_VOTE, From: 1, To: 2, Term: 50, ClusterId: 9,
 	})
-	assert.Equal(t, len(unknown.Ready().Messages), 0, "a message to the old identity is answered")
+	assert.Equal(t, len(unknown.Ready().Messages), 0, "a message to the old identity was handled")
 	_, confirmed := leader.core.Status().Round, leader.core.Status().ConfirmedRound
 	leader.core.Heartbeat()
 	leader.core.Step(&wire.PeerMessage{
 		Kind: wire.PeerMessageKind_PEER_MESSAGE_KIND_APPEND_ANSWER, From: 99, To: leader.id,
 		Term: leader.core.Status().Term, Round: leader.core.Status().Round, Index: 1000, ClusterId: 9,
 	})
-	assert.Equal(t, leader.core.Status().ConfirmedRound, confirmed, "a stranger's answer counts")
+	assert.Equal(t, leader.core.Status().ConfirmedRound, confirmed, "a non-member's response was counted")
 }
 
-// answer makes the acknowledgement of a follower.
+// appendAck returns a follower's successful append response.
 func appendAck(from uint64, leader *quorum.Core, index uint64) *wire.PeerMessage {
 	return &wire.PeerMessage{
 		Kind: wire.PeerMessageKind_PEER_MESSAGE_KIND_APPEND_ANSWER, From: from, To: 1,
@@ -199,15 +192,15 @@
 	}
 }
 
-// lead makes replica 1 of three the leader, with the given records on disk.
-func electLeader(t *testing.T, records []*wire.LogRecord) *quorum.Core {
+// electLeader returns replica 1 of three as the leader, with the given entries on disk.
+func electLeader(t *testing.T, entries []*wire.LogRecord) *quorum.Core {
 	t.Helper()
 	membership := &wire.Membership{ClusterId: 9}
 	for id := uint64(1); id <= 3; id++ {
 		membership.Members = append(membership.Members, &wire.ControlMember{ReplicaId: id, Voter: true})
 	}
 	c := quorum.New(quorum.Options{ID: 1, ElectionTicks: 10, HeartbeatTicks: 2, Random: func(int) int { return 0 }},
-		quorum.DurableState{Vote: &wire.Vote{Term: 1}, Snapshot: &wire.Snapshot{Membership: membership}, Entries: records})
+		quorum.DurableState{Vote: &wire.Vote{Term: 1}, Snapshot: &wire.Snapshot{Membership: membership}, Entries: entries})
 	for range 10 {
 		c.Tick()
 	}
@@ -220,22 +213,18 @@
 	return c
 }
 
-// Symptom: an acknowledged change is gone after one replica crashed. Sequence:
-// the leader counts itself among the holders before its own sync is done, and
-// crashes. Only Synced may make its copy count.
+// Guards against committing an entry that the leader hasn't synced yet and loses in a
+// crash.
 func TestLeaderCountsItselfOnlyAfterSync(t *testing.T) {
 	c := electLeader(t, nil)
-	out := c.Ready()
+	rd := c.Ready()
 	c.Step(appendAck(2, c, 1))
 	assert.Equal(t, c.Status().Commit, uint64(0))
-	c.Synced(out)
+	c.Synced(rd)
 	assert.Equal(t, c.Status().Commit, uint64(1))
 }
 
-// Symptom: a record that a follower has acknowledged, and the leader committed, is
-// gone there. Sequence: a snapshot is sent and is late; appends from another message
-// fill the same gap and go beyond; then the snapshot arrives. Cause: it replaced
-// all records, those behind it too.
+// Guards against a delayed snapshot discarding acknowledged entries beyond its index.
 func TestStaleSnapshotKeepsLaterEntries(t *testing.T) {
 	membership := &wire.Membership{ClusterId: 9, Members: []*wire.ControlMember{{ReplicaId: 1, Voter: true}, {ReplicaId: 2, Voter: true}}}
 	c := quorum.New(quorum.Options{ID: 1, ElectionTicks: 10, HeartbeatTicks: 2, Random: func(int) int { return 0 }},
@@ -257,10 +246,8 @@
 	assert.Equal(t, len(c.NextCommittedEntries()), 2)
 }
 
-// Symptom: a record that was committed is replaced (figure 8 of the Raft
-// paper). Sequence: a new leader finds a record of an old term on a majority
-// and calls it committed; another leader, elected with a later record, removes
-// it. Cause: only a record of the leader's own term may be counted.
+// Guards against committing an entry of an earlier term by counting replicas, which a later
+// leader could overwrite (figure 8 of the Raft paper).
 func TestEntryOfOldTermIsNotCommittedByCounting(t *testing.T) {
 	c := electLeader(t, []*wire.LogRecord{{Index: 1, Term: 1}})
 	c.Synced(c.Ready())
@@ -270,7 +257,7 @@
 	assert.Equal(t, c.Status().Commit, uint64(2))
 }
 
-// entryBytes is the size of the records in the messages to one replica.
+// entryBytes returns the total size of the entries sent to one replica.
 func entryBytes(messages []*wire.PeerMessage, to uint64) int {
 	size := 0
 	for _, m := range messages {
@@ -288,11 +275,8 @@
 	return &wire.Command{Body: &wire.Command_Quarantine{Quarantine: &wire.Quarantine{Reason: strings.Repeat("x", 40<<10)}}}
 }
 
-// Symptom: a leader's memory grows by hundreds of megabytes within seconds and
-// the links are full, after a follower missed a moment. Sequence: one append is
-// lost; each of those behind it is refused, and each refusal has all records
-// since sent again. Cause: refusals that were under way already counted like
-// the first.
+// Guards against resending all later entries for each append rejected after a single lost
+// message.
 func TestRejectionsAfterOneLossResendOnce(t *testing.T) {
 	c := electLeader(t, nil)
 	c.Synced(c.Ready())
@@ -315,12 +299,11 @@
 	accepted.AskedIndex = 1
 	c.Step(accepted)
 	resent += entryBytes(c.Ready().Appends, 2)
-	assert.Assert(t, resent > 0, "nothing was sent again")
-	assert.Assert(t, resent < 2*lost*(41<<10), "%d bytes were sent again for %d bytes lost", resent, lost*(40<<10))
+	assert.Assert(t, resent > 0, "nothing was resent")
+	assert.Assert(t, resent < 2*lost*(41<<10), "%d bytes were resent for %d bytes lost", resent, lost*(40<<10))
 }
 
-// Symptom: as above, while a follower is cut off and answers nothing. Cause: no
-// bound on the bytes that are under way to it.
+// Guards against unbounded memory use for entries sent to an unreachable follower.
 func TestInflightBytesAreBounded(t *testing.T) {
 	c := electLeader(t, nil)
 	c.Synced(c.Ready())
@@ -329,20 +312,18 @@
 	sent := 0
 	for i := range uint64(1000) {
 		c.Propose([]*wire.Command{largeCommand()})
-		out := c.Ready()
-		c.Synced(out)
-		sent += entryBytes(out.Appends, 3)
+		rd := c.Ready()
+		c.Synced(rd)
+		sent += entryBytes(rd.Appends, 3)
 		c.Step(appendAck(2, c, i+2))
 		c.Ready()
 	}
-	assert.Assert(t, sent < 6<<20, "%d bytes are under way to a silent replica", sent)
+	assert.Assert(t, sent < 6<<20, "%d bytes are in flight to an unreachable replica", sent)
 	assert.Equal(t, c.Status().Commit, uint64(1001))
 }
 
-// Symptom: two leaders act at once, the older one by the right that a confirmed
-// round gives for most of an election timeout. Sequence: a voter answers the
-// leader's round, restarts at once, and gives its vote to another. Cause: with
-// its memory it lost that it had just heard a leader.
+// Guards against a voter that acknowledges a heartbeat, restarts and at once grants its
+// vote to another replica while the leader's lease is still valid.
 func TestRestartedVoterGrantsNoVote(t *testing.T) {
 	membership := &wire.Membership{ClusterId: 9}
 	for id := uint64(1); id <= 3; id++ {
@@ -376,8 +357,8 @@
 		change func() error
 		want   error
 	}{
-		{"promote a stranger", func() error { return leader.core.Promote(77) }, quorum.ErrUnknownMember},
-		{"remove a stranger", func() error { return leader.core.Remove(77) }, quorum.ErrUnknownMember},
+		{"promote a non-member", func() error { return leader.core.Promote(77) }, quorum.ErrUnknownMember},
+		{"remove a non-member", func() error { return leader.core.Remove(77) }, quorum.ErrUnknownMember},
 		{"second change at once", func() error {
 			if err := leader.core.AddLearner(&wire.ControlMember{ReplicaId: 50}); err != nil {
 				return err
--- a/internal/store/quorum/replication.go
+++ b/internal/store/quorum/replication.go
@@ -122,8 +122,8 @@
 
 // mergeEntries appends the entries that are missing. If one conflicts with an existing
 // entry, that entry and all that follow are discarded; they were never committed.
-func (c *Core) mergeEntries(records []*wire.LogRecord) {
-	for i, r := range records {
+func (c *Core) mergeEntries(entries []*wire.LogRecord) {
+	for i, r := range entries {
 		if c.termAt(r.Index) == r.Term {
 			continue
 		}
@@ -132,7 +132,7 @@
 			c.syncedIndex = min(c.syncedIndex, r.Index-1)
 			c.nextToPersist = min(c.nextToPersist, r.Index)
 		}
-		c.entries = append(c.entries, records[i:]...)
+		c.entries = append(c.entries, entries[i:]...)
 		c.reloadMembership()
 		return
 	}
@@ -251,12 +251,12 @@
 	batch := c.entryRange(p.next, last)
 	size := 0
 	for i, r := range batch {
-		recordSize := proto.Size(r)
-		if size+recordSize > maxBatchBytes && i > 0 {
+		entrySize := proto.Size(r)
+		if size+entrySize > maxBatchBytes && i > 0 {
 			batch = batch[:i]
 			break
 		}
-		size += recordSize
+		size += entrySize
 	}
 	// Clone, because another goroutine encodes the message while a new leader's entries may
 	// overwrite the slice.
--- a/internal/store/quorum/sim_test.go
+++ b/internal/store/quorum/sim_test.go
@@ -1,4 +1,4 @@
-// This file defines a simulation of whole clusters under seeded schedules.
+// This file defines a simulation of clusters under seeded fault schedules.
 
 package quorum_test
 
@@ -15,13 +15,13 @@
 	"sycamoredeck.example/internal/store/state"
 )
 
-// simFaults are probabilities, per step unless said otherwise.
+// simFaults holds the probability of each fault per step, unless noted.
 type simFaults struct {
 	crash, restart, cut, heal, drop, duplicate, snapshot, replace, transfer float64
-	// wipe loses a replica with its disk, for good; no further one until it is
-	// replaced.
+	// wipe is the probability that a replica and its disk are lost permanently. No further
+	// disk is lost until that replica has been replaced.
 	wipe float64
-	// slowDisk is that of a write which goes on while the replica does other things.
+	// slowDisk is the probability that a write in progress continues in the background.
 	slowDisk float64
 }
 
@@ -29,7 +29,7 @@
 	simDisk struct {
 		vote     *wire.Vote
 		snapshot *wire.Snapshot
-		records  []*wire.LogRecord
+		entries  []*wire.LogRecord
 	}
 
 	simWaiter struct {
@@ -49,20 +49,20 @@
 		disk    simDisk
 		waiters map[uint64]simWaiter
 		reads   []simRead
-		// writing is what is being synced; nil when nothing is.
+		// persisting is the Ready being synced, or nil.
 		persisting   *quorum.Ready
 		appliedIndex uint64
 		appliedTerm  uint64
 	}
 
-	// sim is a cluster whose every step is drawn from one seed.
+	// sim is a cluster in which every step is derived from one seed.
 	sim struct {
 		random   *rand.Rand
 		faults   simFaults
 		replicas map[uint64]*simReplica // those that are up
 		down     map[uint64]simDisk
 		network  []*wire.PeerMessage
-		cutLinks map[[2]uint64]bool
+		cutLinks map[[2]uint64]bool // by sender and receiver
 		nextID   uint64
 
 		committed  map[uint64]*wire.LogRecord
@@ -73,8 +73,8 @@
 		step       int64
 		operations []porcupine.Operation
 		clients    int
-		// forgetful makes crashes lose synced records too: the fault that the
-		// simulation must be able to find.
+		// losesSynced makes crashes lose synced entries too. The simulation must detect
+		// that.
 		losesSynced bool
 	}
 )
@@ -85,13 +85,13 @@
 		replicas: map[uint64]*simReplica{}, down: map[uint64]simDisk{}, cutLinks: map[[2]uint64]bool{},
 		committed: map[uint64]*wire.LogRecord{}, leaders: map[uint64]uint64{},
 	}
-	founding := &wire.Membership{ClusterId: 9}
+	initial := &wire.Membership{ClusterId: 9}
 	for range size {
-		founding.Members = append(founding.Members, &wire.ControlMember{ReplicaId: s.nextID, Voter: true})
+		initial.Members = append(initial.Members, &wire.ControlMember{ReplicaId: s.nextID, Voter: true})
 		s.nextID++
 	}
-	for _, m := range founding.Members {
-		s.start(m.ReplicaId, simDisk{snapshot: &wire.Snapshot{Membership: founding}})
+	for _, m := range initial.Members {
+		s.start(m.ReplicaId, simDisk{snapshot: &wire.Snapshot{Membership: initial}})
 	}
 	return s
 }
@@ -104,7 +104,7 @@
 	r.appliedIndex, r.appliedTerm = disk.snapshot.Index, disk.snapshot.Term
 	r.core = quorum.New(quorum.Options{
 		ID: id, ElectionTicks: 10, HeartbeatTicks: 2, Random: s.random.IntN,
-	}, quorum.DurableState{Vote: disk.vote, Snapshot: disk.snapshot, Entries: slices.Clone(disk.records)})
+	}, quorum.DurableState{Vote: disk.vote, Snapshot: disk.snapshot, Entries: slices.Clone(disk.entries)})
 	s.replicas[id] = r
 	delete(s.down, id)
 }
@@ -117,7 +117,8 @@
 
 func (s *sim) chance(p float64) bool { return s.random.Float64() < p }
 
-// pick gives a random replica that is up, in an order that the seed fixes.
+// randomReplica returns a random replica that is up, or nil. The choice depends only on the
+// seed.
 func (s *sim) randomReplica() *simReplica {
 	ids := make([]uint64, 0, len(s.replicas))
 	for id := range s.replicas {
@@ -147,7 +148,7 @@
 	}
 }
 
-// settle ends all faults and lets the cluster come to rest.
+// stabilize ends all faults and runs the cluster until it is stable.
 func (s *sim) stabilize() {
 	s.faults = simFaults{}
 	clear(s.cutLinks)
@@ -203,8 +204,8 @@
 	}
 }
 
-// wipe loses a replica and its disk unless an earlier loss may still count: as
-// long as any replica, also one that is down, takes the lost one for a voter.
+// wipe loses a replica and its disk, unless some replica, up or down, still counts an
+// earlier lost one as a voter.
 func (s *sim) wipe() {
 	r := s.randomReplica()
 	if r == nil || len(s.down) > 0 {
@@ -227,8 +228,8 @@
 	for _, read := range r.reads {
 		read.done(0, false)
 	}
-	if s.losesSynced && len(r.disk.records) > 0 {
-		r.disk.records = r.disk.records[:len(r.disk.records)/2]
+	if s.losesSynced && len(r.disk.entries) > 0 {
+		r.disk.entries = r.disk.entries[:len(r.disk.entries)/2]
 	}
 	delete(s.replicas, r.id)
 	s.down[r.id] = r.disk
@@ -247,7 +248,7 @@
 	if len(s.network) == 0 {
 		return
 	}
-	i := s.random.IntN(min(len(s.network), 8)) // mostly in order, not always
+	i := s.random.IntN(min(len(s.network), 8)) // reorders messages slightly
 	m := s.network[i]
 	s.network = slices.Delete(s.network, i, i+1)
 	if s.chance(s.faults.duplicate) {
@@ -257,18 +258,18 @@
 	if r == nil || s.cutLinks[[2]uint64{m.From, m.To}] || s.chance(s.faults.drop) {
 		return
 	}
-	// What crosses a network is a copy.
+	// A network delivers a copy.
 	r.core.Step(proto.Clone(m).(*wire.PeerMessage))
 	s.processReady(r)
 }
 
-// flush does what the node does with a replica's output, and may crash
+// processReady does what the node does with a replica's Ready. The replica may crash
 // between any two of its steps, which loses what wasn't synced.
 func (s *sim) processReady(r *simReplica) {
 	if r.persisting == nil {
-		out := r.core.Ready()
-		s.network = append(s.network, out.Appends...)
-		r.persisting = &out
+		rd := r.core.Ready()
+		s.network = append(s.network, rd.Appends...)
+		r.persisting = &rd
 	}
 	if s.chance(s.faults.crash) {
 		s.crash(r)
@@ -282,86 +283,85 @@
 		s.afterReady(r)
 		return
 	}
-	out := *r.persisting
+	rd := *r.persisting
 	r.persisting = nil
-	if out.Vote != nil {
-		r.disk.vote = out.Vote
+	if rd.Vote != nil {
+		r.disk.vote = rd.Vote
 	}
-	if out.Snapshot != nil {
-		r.disk.snapshot, r.disk.records = out.Snapshot, nil
+	if rd.Snapshot != nil {
+		r.disk.snapshot, r.disk.entries = rd.Snapshot, nil
 	}
-	if len(out.Entries) > 0 {
-		r.disk.append(out.Entries)
+	if len(rd.Entries) > 0 {
+		r.disk.append(rd.Entries)
 	}
 	if s.chance(s.faults.crash) {
 		s.crash(r)
 		return
 	}
-	r.core.Synced(out)
-	s.checkResponses(r, out.Messages)
-	s.network = append(s.network, out.Messages...)
-	if out.Snapshot != nil {
-		s.check(r.machine.Load(out.Snapshot.State) == nil, "replica %d: snapshot can't be loaded", r.id)
-		r.appliedIndex, r.appliedTerm = out.Snapshot.Index, out.Snapshot.Term
+	r.core.Synced(rd)
+	s.checkResponses(r, rd.Messages)
+	s.network = append(s.network, rd.Messages...)
+	if rd.Snapshot != nil {
+		s.check(r.machine.Load(rd.Snapshot.State) == nil, "replica %d: snapshot can't be loaded", r.id)
+		r.appliedIndex, r.appliedTerm = rd.Snapshot.Index, rd.Snapshot.Term
 	}
 	s.applyAll(r, r.core.NextCommittedEntries())
 	s.afterReady(r)
 }
 
-func (s *sim) applyAll(r *simReplica, records []*wire.LogRecord) {
-	for _, record := range records {
-		s.apply(r, record)
+func (s *sim) applyAll(r *simReplica, entries []*wire.LogRecord) {
+	for _, entry := range entries {
+		s.apply(r, entry)
 	}
 }
 
-// checkResponses finds answers that promise what isn't on the disk. Several messages
-// may have been taken before one write: seed 5 of slow disks has a vote for one term
-// and then for the next (step 1113), seed 72 of slow disks and members a record
-// acknowledged and then replaced by the next term's leader (step 833). What is on the
-// disk then is what it would be had each been written by itself, the later term
-// included, so that nothing of the earlier one is promised any more.
+// checkResponses checks that responses promise nothing that isn't on disk. Several messages
+// may have been handled before one write, so that the disk is already at a later term than
+// the response, which is then void: a vote for one term and then for the next (slow disks,
+// seed 5), or an entry acknowledged and then overwritten by the next term's leader (slow
+// disks and members, seed 72).
 func (s *sim) checkResponses(r *simReplica, messages []*wire.PeerMessage) {
 	for _, m := range messages {
 		switch {
 		case r.disk.vote.GetTerm() > m.Term:
 		case m.Kind == wire.PeerMessageKind_PEER_MESSAGE_KIND_VOTE_ANSWER && !m.Reject:
 			saved := r.disk.vote.GetTerm() == m.Term && r.disk.vote.GetVotedFor() == m.To
-			s.check(saved, "replica %d gives a vote that isn't saved", r.id)
+			s.check(saved, "replica %d granted a vote that isn't on disk", r.id)
 		case m.Kind == wire.PeerMessageKind_PEER_MESSAGE_KIND_APPEND_ANSWER && !m.Reject:
-			held := r.disk.snapshot.Index + uint64(len(r.disk.records))
-			s.check(m.Index <= held, "replica %d acknowledges record %d and holds %d", r.id, m.Index, held)
+			lastIndex := r.disk.snapshot.Index + uint64(len(r.disk.entries))
+			s.check(m.Index <= lastIndex, "replica %d acknowledged entry %d but has only %d on disk", r.id, m.Index, lastIndex)
 		default:
 		}
 	}
 }
 
-func (d *simDisk) append(records []*wire.LogRecord) {
-	first := records[0].Index
-	kept := d.records
+func (d *simDisk) append(entries []*wire.LogRecord) {
+	first := entries[0].Index
+	kept := d.entries
 	for i, r := range kept {
 		if r.Index >= first {
 			kept = kept[:i]
 			break
 		}
 	}
-	d.records = append(slices.Clone(kept), records...)
+	d.entries = append(slices.Clone(kept), entries...)
 }
 
-func (s *sim) apply(r *simReplica, record *wire.LogRecord) {
-	s.check(record.Index == r.appliedIndex+1, "replica %d applies %d after %d", r.id, record.Index, r.appliedIndex)
-	if known := s.committed[record.Index]; known == nil {
-		s.committed[record.Index] = record
+func (s *sim) apply(r *simReplica, entry *wire.LogRecord) {
+	s.check(entry.Index == r.appliedIndex+1, "replica %d applied entry %d after %d", r.id, entry.Index, r.appliedIndex)
+	if known := s.committed[entry.Index]; known == nil {
+		s.committed[entry.Index] = entry
 	} else {
-		s.check(proto.Equal(known, record), "two records committed at %d", record.Index)
+		s.check(proto.Equal(known, entry), "two different entries committed at index %d", entry.Index)
 	}
 	var result state.Result
-	if record.Command != nil {
-		result = r.machine.Apply(record.Command)
+	if entry.Command != nil {
+		result = r.machine.Apply(entry.Command)
 	}
-	r.appliedIndex, r.appliedTerm = record.Index, record.Term
-	if w, ok := r.waiters[record.Index]; ok {
-		delete(r.waiters, record.Index)
-		if w.term == record.Term {
+	r.appliedIndex, r.appliedTerm = entry.Index, entry.Term
+	if w, ok := r.waiters[entry.Index]; ok {
+		delete(r.waiters, entry.Index)
+		if w.term == entry.Term {
 			w.done(&result)
 		} else {
 			w.done(nil)
@@ -373,7 +373,7 @@
 	status := r.core.Status()
 	if status.Role == quorum.Leader {
 		if other, ok := s.leaders[status.Term]; ok {
-			s.check(other == r.id, "replicas %d and %d both lead term %d", other, r.id, status.Term)
+			s.check(other == r.id, "replicas %d and %d are both leader in term %d", other, r.id, status.Term)
 		}
 		s.leaders[status.Term] = r.id
 	}
@@ -403,12 +403,12 @@
 	}
 	r.core.Compact(snapshot)
 	r.disk.snapshot = snapshot
-	for len(r.disk.records) > 0 && r.disk.records[0].Index <= snapshot.Index {
-		r.disk.records = r.disk.records[1:]
+	for len(r.disk.entries) > 0 && r.disk.entries[0].Index <= snapshot.Index {
+		r.disk.entries = r.disk.entries[1:]
 	}
 }
 
-// act lets clients and operators do something at a replica.
+// runClients starts random operations of clients and operators at a replica.
 func (s *sim) runClients(r *simReplica) {
 	status := r.core.Status()
 	if status.Role != quorum.Leader || r.appliedTerm != status.Term {
@@ -431,20 +431,20 @@
 	}
 }
 
-// permanentlyLost returns a voter that surely never votes again: its disk is gone.
+// permanentlyLost returns a voter that can never vote again because its disk is lost.
 func (s *sim) permanentlyLost(members []*wire.ControlMember) (uint64, bool) {
 	for _, m := range members {
-		_, asleep := s.down[m.ReplicaId]
-		if m.Voter && !asleep && s.replicas[m.ReplicaId] == nil {
+		_, down := s.down[m.ReplicaId]
+		if m.Voter && !down && s.replicas[m.ReplicaId] == nil {
 			return m.ReplicaId, true
 		}
 	}
 	return 0, false
 }
 
-// changeMembers takes the next step of replacing a random member by a new
-// replica, as the operator's command does, or in one step the place of one
-// whose disk is gone. Refusals are part of it.
+// changeMembers takes the next step of replacing a random member by a new replica, as the
+// operator command does, or replaces a voter whose disk is lost in one step. Errors are
+// expected.
 func (s *sim) changeMembers(r *simReplica) {
 	members := r.core.Members().Members
 	for _, m := range members {
