--- a/internal/store/state/apply.go
+++ b/internal/store/state/apply.go
@@ -1,4 +1,4 @@
-// This file defines Apply and the commands about jobs and workers.
+// This file defines Apply and the commands for jobs and workers.
 
 package state
 
@@ -12,7 +12,7 @@
 	"sycamoredeck.example/internal/store/graph"
 )
 
-// Why a command changes nothing. The texts reach callers.
+// Errors for which a command is rejected. Their texts are returned to callers.
 var (
 	ErrUnknownJob           = errors.New("no such job")
 	ErrUnknownWorker        = errors.New("no such worker incarnation")
@@ -28,7 +28,8 @@
 	ErrWorkerBusy           = errors.New("another incarnation of the worker may still run tasks")
 )
 
-// Result is what a command came to. Which fields are set depends on it.
+// Result is the result of a command. The type of the command determines which fields are
+// set.
 type Result struct {
 	Err       error
 	Job       *wire.Job
@@ -36,11 +37,11 @@
 	Duplicate bool
 	Apply     *wire.ApplyConfigurationResponse
 	Dispatch  *wire.OpenDispatchResponse
-	// Placed tells for each placement whether it holds.
+	// PlacementErrors holds an error, or nil, for each placement.
 	PlacementErrors []error
 }
 
-// Apply carries out one committed command.
+// Apply executes a committed command.
 func (m *Machine) Apply(c *wire.Command) Result {
 	switch body := c.GetBody().(type) {
 	case *wire.Command_ApplyConfiguration:
@@ -78,8 +79,8 @@
 }
 
 func (m *Machine) submitJob(c *wire.Command, s *wire.SubmitJob) Result {
-	key := pairKey(s.Spec.ClientAccount, s.IdempotencyKey)
-	if id, ok := m.keys[key]; ok {
+	key := accountKey(s.Spec.ClientAccount, s.IdempotencyKey)
+	if id, ok := m.jobIDByKey[key]; ok {
 		known := m.jobs[id]
 		if !sameSubmission(known.Spec, s.Spec) {
 			return Result{Err: ErrKeyReused}
@@ -94,7 +95,7 @@
 	if spec.Resources == nil {
 		spec.Resources = proto.Clone(kind.Resources).(*wire.Resources)
 	}
-	if err := m.canEverRun(spec); err != nil {
+	if err := m.checkSchedulable(spec); err != nil {
 		return Result{Err: err}
 	}
 	m.nextSequence++
@@ -103,13 +104,13 @@
 		SubmittedAt: c.At, IdempotencyKey: s.IdempotencyKey,
 		Sequence: m.nextSequence, Class: kind.Class,
 	}
-	m.jobs[j.JobId], m.keys[key] = j, j.JobId
+	m.jobs[j.JobId], m.jobIDByKey[key] = j, j.JobId
 	m.queueOf(j).push(j)
-	return m.changed(j)
+	return m.jobChanged(j)
 }
 
-// sameSubmission compares what a caller sent; resources it left out were
-// filled in from the job kind as it was then.
+// sameSubmission compares two submissions as sent by the caller. Resources that the caller
+// omitted were filled in from the job kind at the time.
 func sameSubmission(known, sent *wire.JobSpec) bool {
 	if sent.Resources == nil {
 		known = proto.Clone(known).(*wire.JobSpec)
@@ -118,9 +119,9 @@
 	return proto.Equal(known, sent)
 }
 
-// canEverRun refuses what no wait could help. A system with no worker yet
-// can't tell, and takes the job.
-func (m *Machine) canEverRun(spec *wire.JobSpec) error {
+// checkSchedulable rejects jobs that exceed the quota or the capacity of every worker.
+// While no worker is registered, capacity isn't checked.
+func (m *Machine) checkSchedulable(spec *wire.JobSpec) error {
 	need := ResourcesOf(spec.Resources)
 	if quota := ResourcesOf(m.accounts[spec.ClientAccount].GetQuota()); !need.FitsQuota(quota) {
 		return fmt.Errorf("%w: it needs %v, the client account's quota is %v", ErrUnschedulable, need, quota)
@@ -147,10 +148,10 @@
 		switch j.State {
 		case wire.JobState_JOB_STATE_QUEUED:
 			m.queueOf(j).remove(j)
-			m.finish(c, j, wire.JobState_JOB_STATE_CANCELLED, "cancelled")
+			m.setFinalState(c, j, wire.JobState_JOB_STATE_CANCELLED, "cancelled")
 		case wire.JobState_JOB_STATE_RUNNING:
 			j.CancelRequested = true
-			m.changed(j)
+			m.jobChanged(j)
 		default:
 		}
 		res.Jobs = append(res.Jobs, j)
@@ -203,24 +204,24 @@
 		return ErrInsufficientCapacity
 	}
 	quota := ResourcesOf(m.accounts[j.Spec.ClientAccount].GetQuota())
-	if !m.used[j.Spec.ClientAccount].Add(need).FitsQuota(quota) {
+	if !m.usedByAccount[j.Spec.ClientAccount].Add(need).FitsQuota(quota) {
 		return ErrQuota
 	}
 	m.queueOf(j).remove(j)
 	j.State, j.Attempt = wire.JobState_JOB_STATE_RUNNING, p.Attempt
 	j.WorkerId, j.WorkerIncarnation, j.StartedAt, j.Reason = p.WorkerId, p.WorkerIncarnation, c.At, ""
-	m.commitTask(j)
-	m.changed(j)
+	m.reserveTask(j)
+	m.jobChanged(j)
 	return nil
 }
 
-func (m *Machine) commitTask(j *wire.Job) {
+func (m *Machine) reserveTask(j *wire.Job) {
 	need := ResourcesOf(j.Spec.Resources)
 	w := m.workers[j.WorkerId]
 	w.Committed = w.Committed.Add(need)
 	w.Tasks[j.JobId] = j
-	m.used[j.Spec.ClientAccount] = m.used[j.Spec.ClientAccount].Add(need)
-	m.running++
+	m.usedByAccount[j.Spec.ClientAccount] = m.usedByAccount[j.Spec.ClientAccount].Add(need)
+	m.runningCount++
 }
 
 func (m *Machine) releaseTask(j *wire.Job) {
@@ -228,14 +229,14 @@
 	w := m.workers[j.WorkerId]
 	w.Committed = w.Committed.Sub(need)
 	delete(w.Tasks, j.JobId)
-	m.used[j.Spec.ClientAccount] = m.used[j.Spec.ClientAccount].Sub(need)
-	m.running--
+	m.usedByAccount[j.Spec.ClientAccount] = m.usedByAccount[j.Spec.ClientAccount].Sub(need)
+	m.runningCount--
 }
 
-// heldBy returns the job if the report is about its running attempt on that
-// worker. A late report of an earlier attempt must change nothing: the job
-// may be running elsewhere or have ended.
-func (m *Machine) heldBy(r *wire.TaskReport, worker string) (*wire.Job, error) {
+// runningTask returns the job if the report is about its current attempt on that worker. A
+// late report of an earlier attempt must be ignored: the job may be running elsewhere or
+// have ended.
+func (m *Machine) runningTask(r *wire.TaskReport, worker string) (*wire.Job, error) {
 	j := m.jobs[r.JobId]
 	if j == nil {
 		return nil, ErrUnknownJob
@@ -247,7 +248,7 @@
 }
 
 func (m *Machine) endTask(c *wire.Command, e *wire.EndTask) Result {
-	j, err := m.heldBy(e.Report, e.WorkerId)
+	j, err := m.runningTask(e.Report, e.WorkerId)
 	if err != nil {
 		return Result{Job: j, Err: err}
 	}
@@ -255,58 +256,59 @@
 	j.Checkpoint = max(j.Checkpoint, e.Report.Checkpoint)
 	switch e.Report.State {
 	case wire.TaskState_TASK_STATE_FINISHED:
-		m.endFinished(c, j, e.Report)
+		m.handleFinished(c, j, e.Report)
 	case wire.TaskState_TASK_STATE_STOPPED:
 		j.Evictions++
 		m.requeue(c, j, "evicted")
 	default:
-		m.endFailed(c, j, e.Report.Reason)
+		m.handleFailed(c, j, e.Report.Reason)
 	}
 	return Result{Job: j}
 }
 
-func (m *Machine) endFinished(c *wire.Command, j *wire.Job, r *wire.TaskReport) {
+func (m *Machine) handleFinished(c *wire.Command, j *wire.Job, r *wire.TaskReport) {
 	if j.Class == wire.JobClass_JOB_CLASS_STANDING && !j.CancelRequested {
 		j.Failures++
 		m.requeue(c, j, "standing task ended by itself")
 		return
 	}
 	j.Result = r.Result
-	m.finished++
-	m.finish(c, j, wire.JobState_JOB_STATE_FINISHED, "")
+	m.finishedCount++
+	m.setFinalState(c, j, wire.JobState_JOB_STATE_FINISHED, "")
 }
 
-func (m *Machine) endFailed(c *wire.Command, j *wire.Job, reason string) {
+func (m *Machine) handleFailed(c *wire.Command, j *wire.Job, reason string) {
 	j.Failures++
 	limit := m.Kind(j.Spec.ClientAccount, j.Spec.JobKind).GetMaxFailures()
 	if limit == 0 {
 		limit = defaultMaxFailures
 	}
 	if j.Class != wire.JobClass_JOB_CLASS_STANDING && j.Failures >= limit {
-		m.finish(c, j, wire.JobState_JOB_STATE_FAILED, reason)
+		m.setFinalState(c, j, wire.JobState_JOB_STATE_FAILED, reason)
 		return
 	}
 	m.requeue(c, j, reason)
 }
 
-// requeue lets the job be placed again, unless its cancellation was asked for.
+// requeue makes the job available for placement again unless its cancellation was
+// requested.
 func (m *Machine) requeue(c *wire.Command, j *wire.Job, reason string) {
 	if j.CancelRequested {
-		m.finish(c, j, wire.JobState_JOB_STATE_CANCELLED, "cancelled")
+		m.setFinalState(c, j, wire.JobState_JOB_STATE_CANCELLED, "cancelled")
 		return
 	}
 	j.State, j.WorkerId, j.WorkerIncarnation, j.Reason = wire.JobState_JOB_STATE_QUEUED, "", "", reason
 	j.EndedAt = c.At
 	m.queueOf(j).push(j)
-	m.changed(j)
+	m.jobChanged(j)
 }
 
-func (m *Machine) finish(c *wire.Command, j *wire.Job, state wire.JobState, reason string) {
+func (m *Machine) setFinalState(c *wire.Command, j *wire.Job, state wire.JobState, reason string) {
 	j.State, j.Reason, j.EndedAt = state, reason, c.At
-	m.changed(j)
+	m.jobChanged(j)
 }
 
-func (m *Machine) changed(j *wire.Job) Result {
+func (m *Machine) jobChanged(j *wire.Job) Result {
 	if m.options.OnJobChange != nil {
 		m.options.OnJobChange(j)
 	}
@@ -315,18 +317,17 @@
 
 func (m *Machine) saveCheckpoints(s *wire.SaveCheckpoints) Result {
 	for _, r := range s.Reports {
-		if j, err := m.heldBy(r, ""); err == nil {
+		if j, err := m.runningTask(r, ""); err == nil {
 			j.Checkpoint = max(j.Checkpoint, r.Checkpoint)
 		}
 	}
 	return Result{}
 }
 
-// loseWorker ends all attempts on an incarnation whose lease has run out. An
-// attempt that must not run twice may have finished unheard, so its job ends
-// with its outcome unknown. A job that ends its workers would be started on one
-// after the other for as long as there are any, since none of them reports a
-// failure; so crashes are counted for what had just been started.
+// loseWorker ends all attempts on a worker incarnation whose lease has expired. A job that
+// isn't idempotent may have finished unreported, so its outcome is unknown. A job that
+// crashes its workers never reports a failure and would be started on one worker after
+// another, so crashes soon after a start are counted.
 func (m *Machine) loseWorker(c *wire.Command, l *wire.LoseWorker) Result {
 	w := m.workers[l.WorkerId]
 	if w == nil || w.Record.Incarnation != l.Incarnation {
@@ -340,15 +341,15 @@
 		kind := m.Kind(j.Spec.ClientAccount, j.Spec.JobKind)
 		switch {
 		case j.Class != wire.JobClass_JOB_CLASS_STANDING && !kind.GetIdempotent():
-			m.finish(c, j, wire.JobState_JOB_STATE_OUTCOME_UNKNOWN, "worker lost; the attempt may have finished")
+			m.setFinalState(c, j, wire.JobState_JOB_STATE_OUTCOME_UNKNOWN, "worker lost; the attempt may have finished")
 		case j.WorkerCrashes >= maxWorkerCrashes && !j.CancelRequested:
-			m.finish(c, j, wire.JobState_JOB_STATE_FAILED, "its workers crash soon after it has started there")
+			m.setFinalState(c, j, wire.JobState_JOB_STATE_FAILED, "its workers crash soon after it has started there")
 		default:
 			m.requeue(c, j, "worker lost")
 		}
 	}
 	delete(m.workers, l.WorkerId)
-	m.sorted = nil
+	m.sortedWorkers = nil
 	return Result{}
 }
 
@@ -377,11 +378,11 @@
 		return Result{Job: j, Err: ErrNotQueued}
 	}
 	m.queueOf(j).remove(j)
-	m.finish(c, j, wire.JobState_JOB_STATE_FAILED, f.Reason)
+	m.setFinalState(c, j, wire.JobState_JOB_STATE_FAILED, f.Reason)
 	return Result{Job: j}
 }
 
-// sweep forgets what is older than its retention.
+// sweep removes dispatch records and ended jobs that are past their retention.
 func (m *Machine) sweep(c *wire.Command) Result {
 	now := c.At.AsTime()
 	for key, d := range m.dispatches {
@@ -390,19 +391,19 @@
 		}
 	}
 	for id, j := range m.jobs {
-		if ended(j.State) && now.After(j.EndedAt.AsTime().Add(m.options.Retention)) {
+		if isFinal(j.State) && now.After(j.EndedAt.AsTime().Add(m.options.Retention)) {
 			delete(m.jobs, id)
-			delete(m.keys, pairKey(j.Spec.ClientAccount, j.IdempotencyKey))
+			delete(m.jobIDByKey, accountKey(j.Spec.ClientAccount, j.IdempotencyKey))
 		}
 	}
 	return Result{}
 }
 
-func ended(s wire.JobState) bool {
+func isFinal(s wire.JobState) bool {
 	return s != wire.JobState_JOB_STATE_QUEUED && s != wire.JobState_JOB_STATE_RUNNING
 }
 
-// Ended tells whether a job has reached its final state.
+// Ended reports whether a job is in a final state.
 func Ended(j *wire.Job) bool {
-	return ended(j.State)
+	return isFinal(j.State)
 }
--- a/internal/store/state/config.go
+++ b/internal/store/state/config.go
@@ -1,4 +1,4 @@
-// This file defines the commands about configuration and dispatch records.
+// This file defines the commands for the configuration and dispatch records.
 
 package state
 
@@ -11,17 +11,16 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// applyConfiguration is a compare-and-set on the version. Of two operators
-// who race with the same expected version one wins, and the other is told
-// what did. An operation id sent again, after its answer was lost, gets the
-// answer it had.
+// applyConfiguration is a compare-and-set on the version. Of two concurrent requests with
+// the same expected version one succeeds, and the other gets the current version. A retried
+// operation ID gets the original answer.
 func (m *Machine) applyConfiguration(c *wire.Command, r *wire.ApplyConfigurationRequest) Result {
 	hash := contentHash(r.Configuration)
 	if o := m.operationByID[r.OperationId]; o != nil {
 		if o.ContentHash != hash {
 			return Result{Err: ErrOperationReuse}
 		}
-		return m.applied(m.version(o.Version, r))
+		return m.appliedResult(m.findVersion(o.Version, r))
 	}
 	current := m.Configuration()
 	if r.ExpectedVersion != current.Version {
@@ -34,23 +33,23 @@
 		OperationId: r.OperationId, AppliedAt: c.At,
 	}
 	m.configurations = append(m.configurations, next)
-	if extra := len(m.configurations) - keptConfigurations; extra > 0 {
+	if extra := len(m.configurations) - maxConfigurationHistory; extra > 0 {
 		m.configurations = append([]*wire.ConfigurationVersion(nil), m.configurations[extra:]...)
 	}
-	m.rememberOperation(&wire.AppliedOperation{OperationId: r.OperationId, Version: next.Version, ContentHash: hash})
+	m.recordOperation(&wire.AppliedOperation{OperationId: r.OperationId, Version: next.Version, ContentHash: hash})
 	m.indexConfiguration()
-	return m.applied(next)
+	return m.appliedResult(next)
 }
 
-func (m *Machine) applied(v *wire.ConfigurationVersion) Result {
+func (m *Machine) appliedResult(v *wire.ConfigurationVersion) Result {
 	return Result{Apply: &wire.ApplyConfigurationResponse{
 		Outcome: wire.ApplyOutcome_APPLY_OUTCOME_APPLIED, Current: v,
 	}}
 }
 
-// version returns a past version; what history has dropped is made up from
-// the request, which has the same content.
-func (m *Machine) version(number uint64, r *wire.ApplyConfigurationRequest) *wire.ConfigurationVersion {
+// findVersion returns a past version. One that is no longer in the history is reconstructed
+// from the retried request, whose content is the same.
+func (m *Machine) findVersion(number uint64, r *wire.ApplyConfigurationRequest) *wire.ConfigurationVersion {
 	for _, v := range m.configurations {
 		if v.Version == number {
 			return v
@@ -59,10 +58,10 @@
 	return &wire.ConfigurationVersion{Version: number, Configuration: r.Configuration, OperationId: r.OperationId}
 }
 
-func (m *Machine) rememberOperation(o *wire.AppliedOperation) {
+func (m *Machine) recordOperation(o *wire.AppliedOperation) {
 	m.operations = append(m.operations, o)
 	m.operationByID[o.OperationId] = o
-	if len(m.operations) > keptOperations {
+	if len(m.operations) > maxOperationHistory {
 		delete(m.operationByID, m.operations[0].OperationId)
 		m.operations = m.operations[1:]
 	}
@@ -71,15 +70,15 @@
 func contentHash(c *wire.Configuration) uint64 {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(c)
 	if err != nil {
-		return 0 // can't be: it came out of a message
+		return 0 // unreachable: c was decoded from a message
 	}
 	return xxhash.Sum64(data)
 }
 
-// openDispatch lets a non-idempotent request be sent once. The same nonce is
-// the same dispatch, whose answer was lost; any other must not send.
+// openDispatch grants sending a non-idempotent request to the first nonce only. A retry
+// with the same nonce is granted again, because its answer may have been lost.
 func (m *Machine) openDispatch(d *wire.DispatchRecord) Result {
-	key := pairKey(d.ClientAccount, d.RequestId)
+	key := accountKey(d.ClientAccount, d.RequestId)
 	known := m.dispatches[key]
 	if known == nil {
 		known = proto.Clone(d).(*wire.DispatchRecord)
@@ -91,7 +90,7 @@
 }
 
 func (m *Machine) closeDispatch(d *wire.CloseDispatch) Result {
-	key := pairKey(d.ClientAccount, d.RequestId)
+	key := accountKey(d.ClientAccount, d.RequestId)
 	known := m.dispatches[key]
 	if known == nil || known.Nonce != d.Nonce {
 		return Result{}
--- a/internal/store/state/machine.go
+++ b/internal/store/state/machine.go
@@ -1,12 +1,12 @@
-// This file defines Machine, the replicated state, and how it is read.
+// This file defines Machine, its queries and its snapshots.
 
-// Package state is the deterministic state that all control replicas build
-// from the log: configuration, jobs, what workers are committed to, and the
-// records of non-idempotent requests.
+// Package state implements the replicated state machine of the control replicas:
+// configuration, jobs, workers and their resources, and the dispatch records of non-idempotent
+// requests.
 //
-// Apply is pure: time and chance enter only as data of a committed command.
-// Every promise about commitments is checked here and not by the planner that
-// proposes, since a proposal may be older than the state it meets.
+// Apply is deterministic: time and randomness only come from the committed command. All
+// invariants of placements are checked here rather than in the planner, because a proposal may
+// be based on an older state.
 package state
 
 import (
@@ -20,66 +20,65 @@
 )
 
 const (
-	// keptConfigurations is how many versions history shows.
-	keptConfigurations = 200
-	// keptOperations is how many operation ids are remembered; at 3,700
-	// changes a day that is over two days of resends.
-	keptOperations = 10000
-	// defaultMaxFailures is used where a job kind names none.
+	// maxConfigurationHistory is the number of configuration versions kept.
+	maxConfigurationHistory = 200
+	// maxOperationHistory is the number of operation IDs kept to detect retries.
+	maxOperationHistory = 10000
+	// defaultMaxFailures applies to job kinds that don't set MaxFailures.
 	defaultMaxFailures = 3
-	// maxWorkerCrashes is how many workers may crash soon after a job has started there
-	// before it fails. Each takes all that runs there along; of the jobs that go with it
-	// at most one is the cause, and those aren't to reach this by chance.
+	// maxWorkerCrashes is the number of worker crashes soon after a job's start at which
+	// the job fails. Each crash affects all jobs on the worker, at most one of which is the
+	// cause, so the limit must not be reached by coincidence.
 	maxWorkerCrashes = 5
-	// crashWindow is how soon a worker has to be lost after a job's start for the job to
-	// be a possible cause: some seconds of work, and the lease that has to run out first,
-	// 4 s unless set otherwise.
+	// crashWindow is the time after a job's start in which a lost worker counts as a crash.
+	// It covers some seconds of execution and the expiry of the worker's lease.
 	crashWindow = 20 * time.Second
 )
 
 type (
-	// Worker is a registered worker and what is committed on it.
+	// Worker is a registered worker and the tasks running on it.
 	Worker struct {
 		Record *wire.Worker
-		// Quarantine is why it gets no tasks; empty when it may.
+		// Quarantine is the reason why the worker gets no tasks, or empty.
 		Quarantine string
-		Committed  Resources
-		// Tasks are the running attempts, by job id.
+		// Committed is the sum of the resources of Tasks.
+		Committed Resources
+		// Tasks holds the running attempts by job ID.
 		Tasks map[string]*wire.Job
 	}
 
-	// Options are the same at all replicas.
+	// Options configures a Machine. It must be the same at all replicas.
 	Options struct {
-		// Retention is how long ended jobs are kept after their end.
+		// Retention is how long a job is kept after its end.
 		Retention time.Duration
-		// OnJobChange is called after each change of a job. It must not change it.
+		// OnJobChange is called after each change of a job, which it must not modify.
 		OnJobChange func(*wire.Job)
 	}
 
-	// Machine is the state. It isn't safe for concurrent use.
+	// Machine is the replicated state machine. It isn't safe for concurrent use.
 	Machine struct {
 		options        Options
 		configurations []*wire.ConfigurationVersion
 		jobs           map[string]*wire.Job
-		keys           map[string]string
+		jobIDByKey     map[string]string
 		workers        map[string]*Worker
-		sorted         []*Worker // nil when workers came or went
+		sortedWorkers  []*Worker // nil after a worker was added or removed
 		quarantines    map[string]string
 		dispatches     map[string]*wire.DispatchRecord
 		operations     []*wire.AppliedOperation
 		operationByID  map[string]*wire.AppliedOperation
-		used           map[string]Resources
+		usedByAccount  map[string]Resources
 		queues         map[string]*queue
-		running        int
+		runningCount   int
 		nextSequence   uint64
-		finished       uint64
-		kinds          map[string]*wire.JobKind
+		finishedCount  uint64
+		jobKinds       map[string]*wire.JobKind
 		accounts       map[string]*wire.ClientAccount
 		graph          *graph.Graph
 	}
 )
 
-// New returns the empty state.
+// New returns an empty state machine.
 func New(options Options) *Machine {
 	m := &Machine{options: options, graph: graph.New()}
 	m.reset()
@@ -89,19 +88,19 @@
 func (m *Machine) reset() {
 	m.configurations, m.operations = nil, nil
 	m.jobs = map[string]*wire.Job{}
-	m.keys = map[string]string{}
-	m.workers, m.sorted = map[string]*Worker{}, nil
+	m.jobIDByKey = map[string]string{}
+	m.workers, m.sortedWorkers = map[string]*Worker{}, nil
 	m.quarantines = map[string]string{}
 	m.dispatches = map[string]*wire.DispatchRecord{}
 	m.operationByID = map[string]*wire.AppliedOperation{}
-	m.used = map[string]Resources{}
+	m.usedByAccount = map[string]Resources{}
 	m.queues = map[string]*queue{}
-	m.kinds = map[string]*wire.JobKind{}
+	m.jobKinds = map[string]*wire.JobKind{}
 	m.accounts = map[string]*wire.ClientAccount{}
-	m.running, m.nextSequence, m.finished = 0, 0, 0
+	m.runningCount, m.nextSequence, m.finishedCount = 0, 0, 0
 }
 
-// Configuration returns the version in force; version 0 is the empty one.
+// Configuration returns the current configuration; version 0 is the empty one.
 func (m *Machine) Configuration() *wire.ConfigurationVersion {
 	if len(m.configurations) == 0 {
 		return &wire.ConfigurationVersion{Configuration: &wire.Configuration{}}
@@ -109,7 +108,7 @@
 	return m.configurations[len(m.configurations)-1]
 }
 
-// History returns up to limit versions, the newest first.
+// History returns up to limit configuration versions, newest first.
 func (m *Machine) History(limit int) []*wire.ConfigurationVersion {
 	var versions []*wire.ConfigurationVersion
 	for i := len(m.configurations) - 1; i >= 0 && len(versions) < limit; i-- {
@@ -118,12 +117,12 @@
 	return versions
 }
 
-// Graph returns the part of the state that holds the jobs of steps.
+// Graph returns the part of the state that manages jobs with steps.
 func (m *Machine) Graph() *graph.Graph { return m.graph }
 
 // Kind returns a job kind of a client account, or nil.
 func (m *Machine) Kind(account, kind string) *wire.JobKind {
-	return m.kinds[pairKey(account, kind)]
+	return m.jobKinds[accountKey(account, kind)]
 }
 
 // Account returns a client account, or nil.
@@ -131,13 +130,13 @@
 	return m.accounts[name]
 }
 
-// Job returns a job, or nil. It must not be changed.
+// Job returns a job, or nil. The job must not be modified.
 func (m *Machine) Job(id string) *wire.Job {
 	return m.jobs[id]
 }
 
-// Jobs returns the jobs of an account in submission order; all accounts where
-// it is empty, all states where that is unspecified.
+// Jobs returns up to limit jobs with a sequence number above after, in submission order. An
+// empty account matches all accounts, and an unspecified state all states.
 func (m *Machine) Jobs(account string, state wire.JobState, after uint64, limit int) []*wire.Job {
 	var jobs []*wire.Job
 	for _, j := range m.jobs {
@@ -156,37 +155,38 @@
 	return m.workers[id]
 }
 
-// Drained tells whether a worker's failure domain gets no new work.
+// Drained reports whether a worker's failure domain is drained, so that it gets no new
+// work.
 func (m *Machine) Drained(w *Worker) bool { return m.graph.Drained(w.Record.FailureDomain) }
 
-// Workers returns all registered workers by id. It must not be changed.
+// Workers returns all registered workers by ID. The map must not be modified.
 func (m *Machine) Workers() map[string]*Worker {
 	return m.workers
 }
 
-// SortedWorkers returns the registered workers in the order of their ids. It
-// must not be changed.
+// SortedWorkers returns the registered workers ordered by ID. The slice must not be
+// modified.
 func (m *Machine) SortedWorkers() []*Worker {
-	if m.sorted == nil {
+	if m.sortedWorkers == nil {
 		for _, w := range m.workers {
-			m.sorted = append(m.sorted, w)
+			m.sortedWorkers = append(m.sortedWorkers, w)
 		}
-		sort.Slice(m.sorted, func(i, k int) bool {
-			return m.sorted[i].Record.WorkerId < m.sorted[k].Record.WorkerId
+		sort.Slice(m.sortedWorkers, func(i, k int) bool {
+			return m.sortedWorkers[i].Record.WorkerId < m.sortedWorkers[k].Record.WorkerId
 		})
 	}
-	return m.sorted
+	return m.sortedWorkers
 }
 
-// Quarantines returns the reasons by worker id, of workers that aren't
-// registered now as well. It must not be changed.
+// Quarantines returns the quarantine reasons by worker ID, including workers that aren't
+// registered. The map must not be modified.
 func (m *Machine) Quarantines() map[string]string {
 	return m.quarantines
 }
 
-// Used is what an account's running tasks hold.
+// Used returns the resources of an account's running tasks.
 func (m *Machine) Used(account string) Resources {
-	return m.used[account]
+	return m.usedByAccount[account]
 }
 
 // Counts returns the number of queued, running and finished jobs.
@@ -194,15 +194,15 @@
 	for _, q := range m.queues {
 		queued += q.len()
 	}
-	return queued, m.running, m.finished
+	return queued, m.runningCount, m.finishedCount
 }
 
-// Dispatch returns the record of a non-idempotent request, or nil.
+// Dispatch returns the dispatch record of a non-idempotent request, or nil.
 func (m *Machine) Dispatch(account, requestID string) *wire.DispatchRecord {
-	return m.dispatches[pairKey(account, requestID)]
+	return m.dispatches[accountKey(account, requestID)]
 }
 
-// Accounts returns the accounts that have queued jobs, in the order of names.
+// AccountsWithQueuedJobs returns the names of the accounts that have queued jobs, sorted.
 func (m *Machine) AccountsWithQueuedJobs() []string {
 	var names []string
 	for name, q := range m.queues {
@@ -214,21 +214,21 @@
 	return names
 }
 
-// Queued calls visit with the queued jobs of an account, urgent ones first and
-// then in submission order, until it returns false.
+// Queued calls visit for each queued job of an account, urgent ones first and then in
+// submission order, until visit returns false.
 func (m *Machine) Queued(account string, visit func(*wire.Job) bool) {
 	if q := m.queues[account]; q != nil {
-		q.each(visit)
+		q.forEach(visit)
 	}
 }
 
-// Save serializes the state.
+// Save serializes the state for a snapshot.
 func (m *Machine) Save() ([]byte, error) {
 	s := &wire.MachineState{
 		Configurations: m.configurations,
 		Operations:     m.operations,
 		NextSequence:   m.nextSequence,
-		Finished:       m.finished,
+		Finished:       m.finishedCount,
 		Quarantines:    m.quarantines,
 		Work:           m.graph.Save(),
 	}
@@ -244,21 +244,21 @@
 		s.Dispatches = append(s.Dispatches, d)
 	}
 	sort.Slice(s.Dispatches, func(i, k int) bool {
-		return pairKey(s.Dispatches[i].ClientAccount, s.Dispatches[i].RequestId) < pairKey(s.Dispatches[k].ClientAccount, s.Dispatches[k].RequestId)
+		return accountKey(s.Dispatches[i].ClientAccount, s.Dispatches[i].RequestId) < accountKey(s.Dispatches[k].ClientAccount, s.Dispatches[k].RequestId)
 	})
 	return proto.MarshalOptions{Deterministic: true}.Marshal(s)
 }
 
-// Load replaces the state by a saved one. Sums and queues are worked out anew.
+// Load replaces the state by a saved one. Sums and queues are recomputed.
 func (m *Machine) Load(data []byte) error {
 	s := &wire.MachineState{}
 	if err := proto.Unmarshal(data, s); err != nil {
 		return err
 	}
 	m.reset()
-	m.configurations, m.nextSequence, m.finished = s.Configurations, s.NextSequence, s.Finished
+	m.configurations, m.nextSequence, m.finishedCount = s.Configurations, s.NextSequence, s.Finished
 	for _, o := range s.Operations {
-		m.rememberOperation(o)
+		m.recordOperation(o)
 	}
 	m.graph.Load(s.Work)
 	m.indexConfiguration()
@@ -269,16 +269,16 @@
 		m.addWorker(w)
 	}
 	for _, d := range s.Dispatches {
-		m.dispatches[pairKey(d.ClientAccount, d.RequestId)] = d
+		m.dispatches[accountKey(d.ClientAccount, d.RequestId)] = d
 	}
 	for _, j := range s.Jobs {
 		m.jobs[j.JobId] = j
-		m.keys[pairKey(j.Spec.ClientAccount, j.IdempotencyKey)] = j.JobId
+		m.jobIDByKey[accountKey(j.Spec.ClientAccount, j.IdempotencyKey)] = j.JobId
 		switch j.State {
 		case wire.JobState_JOB_STATE_QUEUED:
 			m.queueOf(j).push(j)
 		case wire.JobState_JOB_STATE_RUNNING:
-			m.commitTask(j)
+			m.reserveTask(j)
 		default:
 		}
 	}
@@ -286,7 +286,7 @@
 }
 
 func (m *Machine) addWorker(w *wire.Worker) {
-	m.sorted = nil
+	m.sortedWorkers = nil
 	m.workers[w.WorkerId] = &Worker{Record: w, Quarantine: m.quarantines[w.WorkerId], Tasks: map[string]*wire.Job{}}
 }
 
@@ -300,17 +300,17 @@
 }
 
 func (m *Machine) indexConfiguration() {
-	clear(m.kinds)
+	clear(m.jobKinds)
 	clear(m.accounts)
 	c := m.Configuration().Configuration
 	for _, a := range c.ClientAccounts {
 		m.accounts[a.Name] = a
 	}
 	for _, k := range c.JobKinds {
-		m.kinds[pairKey(k.ClientAccount, k.Name)] = k
+		m.jobKinds[accountKey(k.ClientAccount, k.Name)] = k
 	}
 }
 
-func pairKey(account, name string) string {
+func accountKey(account, name string) string {
 	return account + "\x00" + name
 }
--- a/internal/store/state/queue.go
+++ b/internal/store/state/queue.go
@@ -1,4 +1,4 @@
-// This file defines the queue of one client account.
+// This file defines the job queue of a client account.
 
 package state
 
@@ -8,9 +8,9 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// queue holds jobs in order: urgent ones first, then by submission. Evicted
-// work keeps its place. New jobs go to the end, so pushes are nearly always
-// appends; removals leave a gap that is closed once half is gaps.
+// queue holds jobs in order: urgent ones first, then by submission. Evicted jobs keep their
+// position. New jobs are nearly always appended. A removal leaves a nil gap; the slice is
+// compacted once more than half of it is gaps.
 type queue struct {
 	jobs []*wire.Job
 	gaps int
@@ -21,8 +21,8 @@
 }
 
 func (q *queue) push(j *wire.Job) {
-	q.close()
-	at := sort.Search(len(q.jobs), func(i int) bool { return before(j, q.jobs[i]) })
+	q.compact()
+	at := sort.Search(len(q.jobs), func(i int) bool { return queuedBefore(j, q.jobs[i]) })
 	q.jobs = append(q.jobs, nil)
 	copy(q.jobs[at+1:], q.jobs[at:])
 	q.jobs[at] = j
@@ -37,20 +37,20 @@
 		}
 	}
 	if q.gaps > len(q.jobs)/2 {
-		q.close()
+		q.compact()
 	}
 }
 
-// search finds where to begin looking for j. Gaps have no order, so with gaps
-// the search starts at the front; heads are what is removed mostly.
+// search returns the index from which to look for j. A slice with gaps can't be searched by
+// bisection; jobs are mostly removed at the head anyway.
 func (q *queue) search(j *wire.Job) int {
 	if q.gaps > 0 {
 		return 0
 	}
-	return sort.Search(len(q.jobs), func(i int) bool { return !before(q.jobs[i], j) })
+	return sort.Search(len(q.jobs), func(i int) bool { return !queuedBefore(q.jobs[i], j) })
 }
 
-func (q *queue) close() {
+func (q *queue) compact() {
 	if q.gaps == 0 {
 		return
 	}
@@ -64,7 +64,7 @@
 	q.jobs, q.gaps = kept, 0
 }
 
-func (q *queue) each(visit func(*wire.Job) bool) {
+func (q *queue) forEach(visit func(*wire.Job) bool) {
 	for _, j := range q.jobs {
 		if j != nil && !visit(j) {
 			return
@@ -72,7 +72,7 @@
 	}
 }
 
-func before(a, b *wire.Job) bool {
+func queuedBefore(a, b *wire.Job) bool {
 	if a.Spec.Urgent != b.Spec.Urgent {
 		return a.Spec.Urgent
 	}
--- a/internal/store/state/state_test.go
+++ b/internal/store/state/state_test.go
@@ -1,4 +1,4 @@
-// This file defines the tests of the replicated state.
+// This file defines the tests of the replicated state machine.
 
 package state_test
 
@@ -34,7 +34,7 @@
 	}
 }
 
-func apply(id string, expected uint64, c *wire.Configuration) *wire.Command {
+func applyConfiguration(id string, expected uint64, c *wire.Configuration) *wire.Command {
 	return &wire.Command{Body: &wire.Command_ApplyConfiguration{ApplyConfiguration: &wire.ApplyConfigurationRequest{
 		OperationId: id, ExpectedVersion: expected, Configuration: c,
 	}}}
@@ -74,11 +74,12 @@
 	return &wire.Command{Body: &wire.Command_CancelJobs{CancelJobs: &wire.CancelJobs{JobIds: jobs}}}
 }
 
-// ready is a machine with the configuration and one worker of 4,000.
-func ready(t testing.TB) *state.Machine {
+// newTestMachine returns a machine with the test configuration and a worker of 4,000
+// milliprocessors.
+func newTestMachine(t testing.TB) *state.Machine {
 	t.Helper()
 	m := state.New(state.Options{Retention: time.Hour})
-	m.Apply(apply("op", 0, testConfiguration()))
+	m.Apply(applyConfiguration("op", 0, testConfiguration()))
 	assert.NilError(t, m.Apply(register("w1", "a", 4000)).Err)
 	return m
 }
@@ -91,27 +92,26 @@
 	assert.Equal(t, j.Attempt, attempt, id)
 }
 
-// Symptom: operators who race with equal version numbers both believe they
-// won, or one who resends after a lost answer undoes another's change. The
-// version is compared and set in one order, and an operation id is remembered.
+// Guards against two concurrent operators both winning, and against a retried request
+// undoing a later change.
 func TestConfigurationRace(t *testing.T) {
 	m := state.New(state.Options{})
 	first, second := testConfiguration(), testConfiguration()
 	second.ClientAccounts[0].Share = 2
-	won := m.Apply(apply("op-1", 0, first)).Apply
+	won := m.Apply(applyConfiguration("op-1", 0, first)).Apply
 	assert.Equal(t, won.Outcome, wire.ApplyOutcome_APPLY_OUTCOME_APPLIED)
-	lost := m.Apply(apply("op-2", 0, second)).Apply
+	lost := m.Apply(applyConfiguration("op-2", 0, second)).Apply
 	assert.Equal(t, lost.Outcome, wire.ApplyOutcome_APPLY_OUTCOME_CONFLICT)
-	assert.Equal(t, lost.Current.OperationId, "op-1", "the loser isn't told who won")
-	m.Apply(apply("op-3", 1, second))
-	again := m.Apply(apply("op-1", 0, first)).Apply
+	assert.Equal(t, lost.Current.OperationId, "op-1", "the conflict doesn't name the winning operation")
+	m.Apply(applyConfiguration("op-3", 1, second))
+	again := m.Apply(applyConfiguration("op-1", 0, first)).Apply
 	assert.Equal(t, again.Outcome, wire.ApplyOutcome_APPLY_OUTCOME_APPLIED)
-	assert.Equal(t, again.Current.Version, uint64(1), "the resent operation has another answer")
-	assert.Equal(t, m.Configuration().Version, uint64(2), "the resent operation changed something")
-	assert.ErrorIs(t, m.Apply(apply("op-1", 2, second)).Err, state.ErrOperationReuse)
+	assert.Equal(t, again.Current.Version, uint64(1), "the retried operation got another answer")
+	assert.Equal(t, m.Configuration().Version, uint64(2), "the retried operation changed the configuration")
+	assert.ErrorIs(t, m.Apply(applyConfiguration("op-1", 2, second)).Err, state.ErrOperationReuse)
 }
 
-func TestSubmitRefusals(t *testing.T) {
+func TestSubmitErrors(t *testing.T) {
 	cases := []struct {
 		name    string
 		command *wire.Command
@@ -122,10 +122,10 @@
 		{"beyond every worker", submit("j", "audit", 4001), state.ErrUnschedulable},
 	}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { assert.ErrorIs(t, ready(t).Apply(c.command).Err, c.want) })
+		t.Run(c.name, func(t *testing.T) { assert.ErrorIs(t, newTestMachine(t).Apply(c.command).Err, c.want) })
 	}
 	t.Run("same key", func(t *testing.T) {
-		m := ready(t)
+		m := newTestMachine(t)
 		m.Apply(submit("j", "audit", 0))
 		twice := submit("k", "audit", 0)
 		twice.GetSubmitJob().IdempotencyKey = "key-j"
@@ -138,15 +138,15 @@
 	})
 }
 
-// Each row is a way in which a placement is older than the state it meets.
-func TestPlacementRefusals(t *testing.T) {
+// Guards against accepting a placement that is based on an older state.
+func TestPlacementErrors(t *testing.T) {
 	cases := []struct {
 		name    string
 		before  []*wire.Command
 		command *wire.Command
 		want    error
 	}{
-		{"no room", []*wire.Command{submit("j", "audit", 3500), submit("k", "audit", 1000), place("j", 1, "w1", "a")}, place("k", 1, "w1", "a"), state.ErrInsufficientCapacity},
+		{"insufficient capacity", []*wire.Command{submit("j", "audit", 3500), submit("k", "audit", 1000), place("j", 1, "w1", "a")}, place("k", 1, "w1", "a"), state.ErrInsufficientCapacity},
 		{"placed already", []*wire.Command{submit("j", "audit", 0), place("j", 1, "w1", "a")}, place("j", 2, "w1", "a"), state.ErrNotQueued},
 		{"old attempt", []*wire.Command{submit("j", "audit", 0), place("j", 1, "w1", "a"), end("j", 1, "w1", wire.TaskState_TASK_STATE_STOPPED, 3)}, place("j", 1, "w1", "a"), state.ErrSuperseded},
 		{"other incarnation", []*wire.Command{submit("j", "audit", 0)}, place("j", 1, "w1", "b"), state.ErrUnknownWorker},
@@ -155,7 +155,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			m := ready(t)
+			m := newTestMachine(t)
 			for _, command := range c.before {
 				assert.NilError(t, m.Apply(command).Err)
 			}
@@ -164,11 +164,11 @@
 	}
 }
 
-// Symptom: work lost with its worker is run twice, or not at all. What may be
-// repeated is queued again at its checkpoint; what may not ends as unknown; a
-// late report of the lost attempt changes nothing.
+// Guards against running work of a lost worker twice or not at all: idempotent jobs are
+// queued again at their checkpoint, others end with an unknown outcome, and late reports
+// are ignored.
 func TestLostWorker(t *testing.T) {
-	m := ready(t)
+	m := newTestMachine(t)
 	for _, c := range []*wire.Command{submit("j", "audit", 0), submit("b", "bill", 0), submit("s", "watch", 0)} {
 		m.Apply(c)
 		id := c.GetSubmitJob().JobId
@@ -187,12 +187,10 @@
 	assertJob(t, m, "j", wire.JobState_JOB_STATE_QUEUED, 1)
 }
 
-// Symptom: a job counts as finished while its present attempt still runs.
-// Sequence: attempt 1 is evicted, attempt 2 starts on the same worker, and a
-// late report says that attempt 1 has finished. Cause: reports matched by job
-// alone.
-func TestLateReportOfAnEarlierAttempt(t *testing.T) {
-	m := ready(t)
+// Guards against a late report of an evicted attempt ending the current attempt on the same
+// worker.
+func TestLateReportOfEarlierAttempt(t *testing.T) {
+	m := newTestMachine(t)
 	m.Apply(submit("j", "audit", 0))
 	m.Apply(place("j", 1, "w1", "a"))
 	m.Apply(end("j", 1, "w1", wire.TaskState_TASK_STATE_STOPPED, 2))
@@ -201,7 +199,7 @@
 	assertJob(t, m, "j", wire.JobState_JOB_STATE_RUNNING, 2)
 }
 
-func TestEnds(t *testing.T) {
+func TestTaskEnds(t *testing.T) {
 	cases := []struct {
 		name, kind string
 		commands   []*wire.Command
@@ -212,12 +210,12 @@
 		{"failed once", "audit", []*wire.Command{end("j", 1, "w1", wire.TaskState_TASK_STATE_FAILED, 0)}, wire.JobState_JOB_STATE_QUEUED},
 		{"stopped after cancel", "audit", []*wire.Command{cancel("j"), end("j", 1, "w1", wire.TaskState_TASK_STATE_STOPPED, 0)}, wire.JobState_JOB_STATE_CANCELLED},
 		{"finished before the stop", "audit", []*wire.Command{cancel("j"), end("j", 1, "w1", wire.TaskState_TASK_STATE_FINISHED, 0)}, wire.JobState_JOB_STATE_FINISHED},
-		{"standing ends by itself", "watch", []*wire.Command{end("j", 1, "w1", wire.TaskState_TASK_STATE_FINISHED, 0)}, wire.JobState_JOB_STATE_QUEUED},
+		{"standing task finished", "watch", []*wire.Command{end("j", 1, "w1", wire.TaskState_TASK_STATE_FINISHED, 0)}, wire.JobState_JOB_STATE_QUEUED},
 		{"other worker's report", "audit", []*wire.Command{end("j", 1, "w2", wire.TaskState_TASK_STATE_FINISHED, 0)}, wire.JobState_JOB_STATE_RUNNING},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			m := ready(t)
+			m := newTestMachine(t)
 			m.Apply(submit("j", c.kind, 0))
 			m.Apply(place("j", 1, "w1", "a"))
 			for _, command := range c.commands {
@@ -227,7 +225,7 @@
 		})
 	}
 	t.Run("failed for good", func(t *testing.T) {
-		m := ready(t)
+		m := newTestMachine(t)
 		m.Apply(submit("j", "audit", 0))
 		for attempt := uint32(1); attempt <= 3; attempt++ {
 			m.Apply(place("j", attempt, "w1", "a"))
@@ -237,10 +235,8 @@
 	})
 }
 
-// Symptom: a request that must not be repeated runs twice. Sequence: it is
-// sent through one entry, the answer is lost, and the caller sends it through
-// another. Only the first nonce may ever be granted, until it is proved that
-// the request wasn't run.
+// Guards against sending a non-idempotent request twice when it is retried through another
+// entry. Only the first nonce is granted until the request is known not to have run.
 func TestDispatchIsGrantedOnce(t *testing.T) {
 	m := state.New(state.Options{})
 	open := func(nonce string) bool {
@@ -248,25 +244,25 @@
 			ClientAccount: "a", RequestId: "r", Nonce: nonce, KeepUntil: timestamppb.New(time.Unix(1000, 0)),
 		}}}).Dispatch.Granted
 	}
-	closeIt := func(nonce string, notRun bool) {
+	closeDispatch := func(nonce string, notRun bool) {
 		m.Apply(&wire.Command{Body: &wire.Command_CloseDispatch{CloseDispatch: &wire.CloseDispatch{
 			ClientAccount: "a", RequestId: "r", Nonce: nonce, NotRun: notRun,
 		}}})
 	}
 	assert.Assert(t, open("one"))
-	assert.Assert(t, open("one"), "the same dispatch, whose answer was lost")
+	assert.Assert(t, open("one"), "a retry with the same nonce was denied")
 	assert.Assert(t, !open("two"))
-	closeIt("two", true)
-	assert.Assert(t, !open("two"), "another's close cleared the record")
-	closeIt("one", true)
+	closeDispatch("two", true)
+	assert.Assert(t, !open("two"), "a close with another nonce removed the record")
+	closeDispatch("one", true)
 	assert.Assert(t, open("two"))
-	closeIt("two", false)
+	closeDispatch("two", false)
 	assert.Assert(t, !open("two") && !open("three"))
 	m.Apply(&wire.Command{At: timestamppb.New(time.Unix(999, 0)), Body: &wire.Command_Sweep{Sweep: &wire.Sweep{}}})
-	assert.Assert(t, !open("three"), "swept too early")
+	assert.Assert(t, !open("three"), "the record was removed too early")
 }
 
-// drawCommand draws one of all commands, over few ids so that they collide.
+// drawCommand draws a random command over few IDs, so that they often collide.
 func drawCommand(rt *rapid.T) *wire.Command {
 	job := fmt.Sprintf("j%d", rapid.IntRange(0, 5).Draw(rt, "job"))
 	worker := fmt.Sprintf("w%d", rapid.IntRange(1, 2).Draw(rt, "worker"))
@@ -294,13 +290,13 @@
 
 func assertInvariants(t rapid.TB, m *state.Machine) {
 	t.Helper()
-	holders := map[string]string{}
+	workerOf := map[string]string{}
 	var used state.Resources
 	for id, w := range m.Workers() {
 		var sum state.Resources
 		for job, j := range w.Tasks {
-			assert.Equal(t, holders[job], "", "%s is in two places", job)
-			holders[job] = id
+			assert.Equal(t, workerOf[job], "", "%s is running on two workers", job)
+			workerOf[job] = id
 			assert.Equal(t, j.State, wire.JobState_JOB_STATE_RUNNING)
 			assert.Equal(t, j.WorkerIncarnation, w.Record.Incarnation)
 			sum = sum.Add(state.ResourcesOf(j.Spec.Resources))
@@ -319,32 +315,31 @@
 		return true
 	})
 	assert.Equal(t, seen, queued)
-	assert.Equal(t, len(holders), running)
+	assert.Equal(t, len(workerOf), running)
 }
 
-// No order of commands commits a worker beyond its capacity or a job to two
-// workers, and replicas that apply the same commands, one of them through a
-// snapshot, have the same state.
-func TestInvariantsUnderAnyCommands(t *testing.T) {
+// Guards against committing a worker beyond its capacity or a job to two workers, and
+// against replicas that diverge, one of them restored from snapshots.
+func TestInvariantsUnderRandomCommands(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m, other := state.New(state.Options{Retention: time.Minute}), state.New(state.Options{Retention: time.Minute})
-		m.Apply(apply("op", 0, testConfiguration()))
-		other.Apply(apply("op", 0, testConfiguration()))
-		ends := map[string]wire.JobState{}
+		m.Apply(applyConfiguration("op", 0, testConfiguration()))
+		other.Apply(applyConfiguration("op", 0, testConfiguration()))
+		finalStates := map[string]wire.JobState{}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			c := drawCommand(rt)
 			m.Apply(c)
 			other.Apply(c)
 			assertInvariants(rt, m)
-			for id, s := range ends {
+			for id, s := range finalStates {
 				if j := m.Job(id); j != nil {
 					assert.Equal(rt, j.State, s, "%s left its final state", id)
 				}
 			}
-			clear(ends)
+			clear(finalStates)
 			for i := range 6 {
 				if j := m.Job(fmt.Sprintf("j%d", i)); j != nil && state.Ended(j) {
-					ends[j.JobId] = j.State
+					finalStates[j.JobId] = j.State
 				}
 			}
 			if rapid.IntRange(0, 9).Draw(rt, "reload") == 0 {
