--- /dev/null
+++ b/internal/store/walog/diskfull.go
@@ -0,0 +1,135 @@
+// This file defines how writes are retried while the disk is full.
+
+package walog
+
+import (
+	"errors"
+	"os"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+	"github.com/gravitational/trace"
+)
+
+const diskFullRetryInterval = 100 * time.Millisecond
+
+var (
+	diskFullTotal      = metrics.NewCounter("sycamoredeck_log_disk_full_total")
+	diskFullEndedTotal = metrics.NewCounter("sycamoredeck_log_disk_full_ended_total")
+)
+
+type (
+	// diskFullState is the state of retries on a full disk. The zero value is ready to use.
+	diskFullState struct {
+		// snapshotIndex is the index of the latest snapshot on disk.
+		snapshotIndex atomic.Uint64
+		aborted       atomic.Bool
+	}
+
+	// permanentError is an error after which nothing may be retried, whatever its cause.
+	permanentError struct {
+		operation string
+		err       error
+	}
+)
+
+// Error returns the failed operation and its cause.
+func (e *permanentError) Error() string { return "walog: " + e.operation + ": " + e.err.Error() }
+
+// Unwrap returns the cause.
+func (e *permanentError) Unwrap() error { return e.err }
+
+var _ error = (*permanentError)(nil)
+
+// isDiskFull reports whether a write failed because the disk is full. Such a write may be
+// retried after truncating what was written of it. A failed sync may not, whatever its
+// cause.
+func isDiskFull(err error) bool {
+	var permanent *permanentError
+	return !errors.As(err, &permanent) && (errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT))
+}
+
+// AbortRetries makes writes that are retried on a full disk return their error, now and in
+// future, so that the process can stop.
+func (l *Log) AbortRetries() { l.diskFull.aborted.Store(true) }
+
+// retryWhileFull calls write, which leaves nothing behind when it fails, until the disk
+// isn't full. Between attempts it calls freeSpace, which may be nil; other processes may
+// free space as well.
+//
+// While it retries, the replica acknowledges nothing and, as leader, sends no heartbeats,
+// so that another one is elected. Treating a full disk as a failed one would make the
+// process stop again at each start.
+func (l *Log) retryWhileFull(operation string, write, freeSpace func() error) error {
+	retrying := false
+	for {
+		err := write()
+		switch {
+		case !isDiskFull(err) || l.diskFull.aborted.Load():
+			if retrying && err == nil {
+				diskFullEndedTotal.Inc()
+				l.options.Logger.Info("disk no longer full, write completed", "folder", l.folder, "write", operation)
+			}
+			return err
+		case !retrying:
+			retrying = true
+			diskFullTotal.Inc()
+			l.options.Logger.Warn("disk full, retrying write", "folder", l.folder, "write", operation, "error", err)
+		}
+		if freeSpace != nil {
+			if err := freeSpace(); err != nil {
+				return err
+			}
+		}
+		time.Sleep(diskFullRetryInterval)
+	}
+}
+
+// compactToSnapshot frees the space of segments that the latest snapshot on disk covers.
+func (l *Log) compactToSnapshot() error { return l.Compact(l.diskFull.snapshotIndex.Load(), false) }
+
+// writeFrames appends the buffer to the last segment. If the disk is full, it truncates
+// what was written.
+func (l *Log) writeFrames() error {
+	_, err := l.options.Write(l.file, l.buffer)
+	if !isDiskFull(err) {
+		return trace.ConvertSystemError(err)
+	}
+	if truncateErr := l.file.Truncate(l.syncedSize); truncateErr != nil {
+		return &permanentError{"truncating a partial write", truncateErr}
+	}
+	if _, seekErr := l.file.Seek(l.syncedSize, 0); seekErr != nil {
+		return &permanentError{"truncating a partial write", seekErr}
+	}
+	return err
+}
+
+// syncFile syncs a file to disk.
+func (l *Log) syncFile(file *os.File) error {
+	if err := l.options.Sync(file); err != nil {
+		return &permanentError{"syncing " + file.Name(), err}
+	}
+	return nil
+}
+
+// writeFile writes a file that replaces another one later. If the disk is full, it removes
+// the partial file.
+func (l *Log) writeFile(path string, data []byte) error {
+	file, err := l.open(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC)
+	if err != nil {
+		return err
+	}
+	defer file.Close()
+	if _, err = l.options.Write(file, data); isDiskFull(err) {
+		if removeErr := os.Remove(path); removeErr != nil {
+			return &permanentError{"removing a partial file", removeErr}
+		}
+		return err
+	}
+	if err != nil {
+		return trace.ConvertSystemError(err)
+	}
+	return l.syncFile(file)
+}
--- a/internal/store/walog/frame.go
+++ b/internal/store/walog/frame.go
@@ -1,4 +1,4 @@
-// This file defines the frames that records are written in.
+// This file defines the frame format of log entries and whole files.
 
 package walog
 
@@ -8,26 +8,28 @@
 )
 
 const (
-	// A frame is: payload length (4 bytes), checksum (4), synced (8), payload.
-	headerSize = 16
-	// maxPayload bounds a frame; a larger length can only be garbage.
-	maxPayload = 256 << 20
+	// A frame consists of the payload length (4 bytes), a checksum (4 bytes), syncedSize
+	// (8 bytes) and the payload.
+	frameHeaderSize = 16
+	// maxPayloadSize limits the payload of a frame. A greater length indicates corruption.
+	maxPayloadSize = 256 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// frame is one record as found in a segment.
+// frame is a decoded frame.
 type frame struct {
 	payload []byte
-	// synced is the length of the segment known to be on disk when the frame
-	// was written. It is what tells a torn tail from damage: bytes before it
-	// had been promised, bytes after it had not.
-	synced int64
-	end    int64
+	// syncedSize is the size of the segment that was synced when the frame was written. It
+	// distinguishes a torn tail from corruption: bytes before it had been acknowledged,
+	// bytes after it had not.
+	syncedSize int64
+	endOffset  int64
 }
 
+// appendFrame appends an encoded frame to buffer.
 func appendFrame(buffer, payload []byte, synced int64) []byte {
-	var header [headerSize]byte
+	var header [frameHeaderSize]byte
 	binary.LittleEndian.PutUint32(header[0:], uint32(len(payload)))
 	binary.LittleEndian.PutUint64(header[8:], uint64(synced))
 	sum := crc32.Update(0, castagnoli, header[8:])
@@ -36,31 +38,31 @@
 	return append(append(buffer, header[:]...), payload...)
 }
 
-// readFrame reads the frame that starts at offset; false when there is none.
+// readFrame decodes the frame at offset. It returns false if there is no valid frame.
 func readFrame(data []byte, offset int64) (frame, bool) {
 	rest := data[offset:]
-	if len(rest) < headerSize {
+	if len(rest) < frameHeaderSize {
 		return frame{}, false
 	}
 	length := binary.LittleEndian.Uint32(rest)
-	if length == 0 || length > maxPayload || int(length) > len(rest)-headerSize {
+	if length == 0 || length > maxPayloadSize || int(length) > len(rest)-frameHeaderSize {
 		return frame{}, false
 	}
-	payload := rest[headerSize : headerSize+int(length)]
-	sum := crc32.Update(0, castagnoli, rest[8:headerSize])
+	payload := rest[frameHeaderSize : frameHeaderSize+int(length)]
+	sum := crc32.Update(0, castagnoli, rest[8:frameHeaderSize])
 	if crc32.Update(sum, castagnoli, payload) != binary.LittleEndian.Uint32(rest[4:]) {
 		return frame{}, false
 	}
 	synced := int64(binary.LittleEndian.Uint64(rest[8:]))
-	return frame{payload: payload, synced: synced, end: offset + headerSize + int64(length)}, true
+	return frame{payload: payload, syncedSize: synced, endOffset: offset + frameHeaderSize + int64(length)}, true
 }
 
-// promisedBeyond tells whether any frame after offset was written when bytes
-// beyond offset were already synced. Then what is unreadable at offset had
-// been promised to others and its loss is damage, not a torn write.
-func promisedBeyond(data []byte, offset int64) bool {
-	for at := offset + 1; at+headerSize < int64(len(data)); at++ {
-		if f, ok := readFrame(data, at); ok && f.synced > offset {
+// syncedBeyond reports whether any frame after offset was written when bytes beyond offset
+// were already synced. If so, unreadable data at offset is corruption rather than a torn
+// write.
+func syncedBeyond(data []byte, offset int64) bool {
+	for at := offset + 1; at+frameHeaderSize < int64(len(data)); at++ {
+		if f, ok := readFrame(data, at); ok && f.syncedSize > offset {
 			return true
 		}
 	}
--- a/internal/store/walog/walog.go
+++ b/internal/store/walog/walog.go
@@ -1,13 +1,12 @@
-// This file defines Log and its opening.
+// This file defines Log and how it is opened.
 
-// Package walog keeps a control replica's durable state in a folder: the
-// vote, the latest snapshot, and the records after it in segment files.
+// Package walog stores the durable state of a control replica in a folder: the vote, the latest
+// snapshot, and the log entries after it in segment files.
 //
-// Every method that changes something returns only after it is synced. An
-// error from a sync is final: the kernel may have dropped the dirty pages and
-// report success the next time, so that a retry would promise what isn't on
-// disk. The caller must stop the process; the next start reads what is there.
-// A write that a full disk refuses is another thing, and waits for room.
+// Every method that modifies something returns only after syncing it to disk. A failed sync must
+// not be retried: the kernel may have dropped the dirty pages and report success the next time
+// although the data isn't on disk. The caller must stop the process; the next start reads what
+// is on disk. A write that fails because the disk is full is retried until there is free space.
 package walog
 
 import (
@@ -30,60 +29,61 @@
 	snapshotName  = "snapshot"
 	lockName      = "lock"
 	segmentPrefix = "log-"
-	// segmentSize is the length after which a new segment is begun. Segments
-	// are dropped whole once a snapshot covers them.
+	// segmentSize is the size in bytes after which a new segment is started. A segment is
+	// removed once a snapshot covers all of it.
 	segmentSize = 8 << 20
 )
 
-// ErrCorrupt says that bytes which had been synced can't be read back. The
-// replica must not go on under its identity: it could have promised them.
+// ErrCorrupt is returned when synced data can't be read back. The replica must not continue
+// under its identity, because it may have acknowledged that data.
 var ErrCorrupt = errors.New("walog: synced data is damaged")
 
 type (
-	// Options has a useful zero value.
+	// Options configures a Log. The zero value is ready to use.
 	Options struct {
-		// Sync makes a file durable; (*os.File).Sync when nil.
+		// Sync syncs a file to disk; (*os.File).Sync when nil.
 		Sync func(*os.File) error
 		// Write writes to a file; (*os.File).Write when nil.
 		Write func(*os.File, []byte) (int, error)
-		// SegmentSize is in bytes; 8 MiB when 0.
+		// SegmentSize is the size in bytes after which a new segment is started; 8 MiB when
+		// 0.
 		SegmentSize int64
-		// Logger is the default one when nil.
+		// Logger is slog.Default() when nil.
 		Logger *slog.Logger
 	}
 
-	// Durable is what a folder holds.
+	// DurableState is the content of a folder.
 	DurableState struct {
 		Vote     *wire.Vote
 		Snapshot *wire.Snapshot
 		Entries  []*wire.LogRecord
-		// TornBytes is how much of an unfinished last write was cut off.
+		// TornBytes is the size of an incomplete last write that was truncated.
 		TornBytes int64
 	}
 
 	segment struct {
-		path  string
-		first uint64
-		// ends[i] is the offset behind record first+i.
-		ends []int64
+		path       string
+		firstIndex uint64
+		// endOffsets[i] is the offset of the end of entry firstIndex+i.
+		endOffsets []int64
 	}
 
-	// Log is an open folder. It isn't safe for concurrent use, but for
-	// WriteSnapshot and AbortRetries, which may run beside Append and SaveVote.
+	// Log is an open folder. It isn't safe for concurrent use, except that WriteSnapshot
+	// and AbortRetries may be called concurrently with Append and SaveVote.
 	Log struct {
-		folder   string
-		options  Options
-		lock     *os.File
-		segments []*segment
-		file     *os.File // the last segment, or nil
-		synced   int64    // length of file known to be on disk
-		buffer   []byte
-		waits    waits
+		folder     string
+		options    Options
+		lock       *os.File
+		segments   []*segment
+		file       *os.File // the last segment, or nil
+		syncedSize int64    // size of file that is synced
+		buffer     []byte
+		diskFull   diskFullState
 	}
 )
 
-// Open reads the folder, makes it when missing, and locks it against a second
-// process.
+// Open reads the folder, creates it if it doesn't exist, and locks it against other
+// processes.
 func Open(folder string, options Options) (*Log, *DurableState, error) {
 	if options.Sync == nil {
 		options.Sync = (*os.File).Sync
@@ -101,7 +101,7 @@
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, nil, trace.ConvertSystemError(err)
 	}
-	if err := l.takeLock(); err != nil {
+	if err := l.acquireLock(); err != nil {
 		return nil, nil, err
 	}
 	durable, err := l.load()
@@ -112,7 +112,7 @@
 	return l, durable, nil
 }
 
-// Close releases the folder.
+// Close closes the log and unlocks the folder.
 func (l *Log) Close() error {
 	if l.file != nil {
 		l.file.Close()
@@ -123,21 +123,21 @@
 func (l *Log) load() (*DurableState, error) {
 	d := &DurableState{}
 	vote, snapshot := &wire.Vote{}, &wire.Snapshot{}
-	found, err := l.readWhole(voteName, vote)
+	found, err := l.readMessage(voteName, vote)
 	if err != nil {
 		return nil, err
 	}
 	if found {
 		d.Vote = vote
 	}
-	if found, err = l.readWhole(snapshotName, snapshot); err != nil {
+	if found, err = l.readMessage(snapshotName, snapshot); err != nil {
 		return nil, err
 	}
 	if found {
 		d.Snapshot = snapshot
-		l.waits.covered.Store(snapshot.Index)
+		l.diskFull.snapshotIndex.Store(snapshot.Index)
 	}
-	if err := l.findSegments(); err != nil {
+	if err := l.listSegments(); err != nil {
 		return nil, err
 	}
 	for i, s := range l.segments {
@@ -145,14 +145,14 @@
 			return nil, err
 		}
 	}
-	d.Entries = afterSnapshot(d.Entries, d.Snapshot)
-	if err := checkOrder(d); err != nil {
+	d.Entries = entriesAfterSnapshot(d.Entries, d.Snapshot)
+	if err := checkContiguous(d); err != nil {
 		return nil, err
 	}
-	return d, l.openLast()
+	return d, l.openLastSegment()
 }
 
-func (l *Log) findSegments() error {
+func (l *Log) listSegments() error {
 	entries, err := os.ReadDir(l.folder)
 	if err != nil {
 		return trace.ConvertSystemError(err)
@@ -164,11 +164,11 @@
 		}
 		var first uint64
 		if _, err := fmt.Sscanf(number, "%020d", &first); err != nil {
-			return trace.Wrap(ErrCorrupt, "%s: not a segment's name", e.Name())
+			return trace.Wrap(ErrCorrupt, "%s: invalid segment file name", e.Name())
 		}
-		l.segments = append(l.segments, &segment{path: filepath.Join(l.folder, e.Name()), first: first})
+		l.segments = append(l.segments, &segment{path: filepath.Join(l.folder, e.Name()), firstIndex: first})
 	}
-	sort.Slice(l.segments, func(i, j int) bool { return l.segments[i].first < l.segments[j].first })
+	sort.Slice(l.segments, func(i, j int) bool { return l.segments[i].firstIndex < l.segments[j].firstIndex })
 	return nil
 }
 
@@ -181,26 +181,26 @@
 	for offset < int64(len(data)) {
 		f, ok := readFrame(data, offset)
 		if !ok {
-			return l.cutTorn(s, data, offset, last, d)
+			return l.truncateTorn(s, data, offset, last, d)
 		}
 		r := &wire.LogRecord{}
 		if err := proto.Unmarshal(f.payload, r); err != nil {
 			return trace.Wrap(ErrCorrupt, "%s: offset %d: %v", s.path, offset, err)
 		}
-		if r.Index != s.first+uint64(len(s.ends)) {
-			return trace.Wrap(ErrCorrupt, "%s: offset %d: record %d out of order", s.path, offset, r.Index)
+		if r.Index != s.firstIndex+uint64(len(s.endOffsets)) {
+			return trace.Wrap(ErrCorrupt, "%s: offset %d: log entry %d out of order", s.path, offset, r.Index)
 		}
 		d.Entries = append(d.Entries, r)
-		offset = f.end
-		s.ends = append(s.ends, offset)
+		offset = f.endOffset
+		s.endOffsets = append(s.endOffsets, offset)
 	}
 	return nil
 }
 
-// cutTorn cuts off a write that a crash left unfinished. Only the end of the
-// last segment can be one: a segment is synced whole before the next begins.
-func (l *Log) cutTorn(s *segment, data []byte, offset int64, last bool, d *DurableState) error {
-	if !last || promisedBeyond(data, offset) {
+// truncateTorn truncates a write that a crash left incomplete. It can only be at the end of
+// the last segment: a segment is fully synced before the next one is started.
+func (l *Log) truncateTorn(s *segment, data []byte, offset int64, last bool, d *DurableState) error {
+	if !last || syncedBeyond(data, offset) {
 		return trace.Wrap(ErrCorrupt, "%s: offset %d", s.path, offset)
 	}
 	d.TornBytes = int64(len(data)) - offset
@@ -212,10 +212,10 @@
 	if err := file.Truncate(offset); err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	return l.sync(file)
+	return l.syncFile(file)
 }
 
-func (l *Log) openLast() error {
+func (l *Log) openLastSegment() error {
 	if len(l.segments) == 0 {
 		return nil
 	}
@@ -224,35 +224,35 @@
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	l.file, l.synced = file, s.length()
-	_, err = file.Seek(l.synced, 0)
+	l.file, l.syncedSize = file, s.size()
+	_, err = file.Seek(l.syncedSize, 0)
 	return trace.Wrap(err)
 }
 
-func afterSnapshot(records []*wire.LogRecord, s *wire.Snapshot) []*wire.LogRecord {
-	for i, r := range records {
+func entriesAfterSnapshot(entries []*wire.LogRecord, s *wire.Snapshot) []*wire.LogRecord {
+	for i, r := range entries {
 		if r.Index > s.GetIndex() {
-			return records[i:]
+			return entries[i:]
 		}
 	}
 	return nil
 }
 
-// checkOrder finds a hole between the snapshot and the records.
-func checkOrder(d *DurableState) error {
+// checkContiguous checks that there are no gaps between the snapshot and the entries.
+func checkContiguous(d *DurableState) error {
 	next := d.Snapshot.GetIndex() + 1
 	for _, r := range d.Entries {
 		if r.Index != next {
-			return trace.Wrap(ErrCorrupt, "record %d where %d is due", r.Index, next)
+			return trace.Wrap(ErrCorrupt, "log entry %d, expected %d", r.Index, next)
 		}
 		next++
 	}
 	return nil
 }
 
-func (s *segment) length() int64 {
-	if len(s.ends) == 0 {
+func (s *segment) size() int64 {
+	if len(s.endOffsets) == 0 {
 		return 0
 	}
-	return s.ends[len(s.ends)-1]
+	return s.endOffsets[len(s.endOffsets)-1]
 }
--- a/internal/store/walog/walog_test.go
+++ b/internal/store/walog/walog_test.go
@@ -1,4 +1,4 @@
-// This file defines the tests of the log's files.
+// This file defines the tests of the log.
 
 package walog_test
 
@@ -15,14 +15,14 @@
 	"sycamoredeck.example/internal/store/walog"
 )
 
-func records(from, to, term uint64) []*wire.LogRecord {
-	var list []*wire.LogRecord
+func testEntries(from, to, term uint64) []*wire.LogRecord {
+	var entries []*wire.LogRecord
 	for i := from; i <= to; i++ {
-		list = append(list, &wire.LogRecord{Index: i, Term: term, Command: &wire.Command{
+		entries = append(entries, &wire.LogRecord{Index: i, Term: term, Command: &wire.Command{
 			Body: &wire.Command_FailJob{FailJob: &wire.FailJob{JobId: "some-job-id", Reason: "x"}},
 		}})
 	}
-	return list
+	return entries
 }
 
 func open(t testing.TB, folder string) (*walog.Log, *walog.DurableState) {
@@ -32,7 +32,7 @@
 	return l, d
 }
 
-func assertRecords(t testing.TB, got []*wire.LogRecord, want []*wire.LogRecord) {
+func assertEntries(t testing.TB, got []*wire.LogRecord, want []*wire.LogRecord) {
 	t.Helper()
 	assert.Equal(t, len(got), len(want))
 	for i := range got {
@@ -41,9 +41,8 @@
 	}
 }
 
-// The files are compared with a plain slice under random appends, overwrites,
-// snapshots and reopens.
-func TestLogKeepsWhatItPromised(t *testing.T) {
+// Compares the log with a slice under random appends, overwrites, snapshots and reopens.
+func TestLogKeepsSyncedEntries(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		folder, err := os.MkdirTemp(t.TempDir(), "log")
 		assert.NilError(rt, err)
@@ -59,7 +58,7 @@
 					from = snapshot + uint64(rapid.IntRange(1, len(model)).Draw(rt, "from"))
 					term++
 				}
-				batch := records(from, from+uint64(rapid.IntRange(0, 12).Draw(rt, "count")), term)
+				batch := testEntries(from, from+uint64(rapid.IntRange(0, 12).Draw(rt, "count")), term)
 				assert.NilError(rt, l.Append(batch))
 				model = append(model[:from-snapshot-1:from-snapshot-1], batch...)
 			case 2:
@@ -78,43 +77,41 @@
 				l, d = open(t, folder)
 				assert.Equal(rt, d.Snapshot.GetIndex(), snapshot)
 				assert.Equal(rt, d.TornBytes, int64(0))
-				assertRecords(t, d.Entries, model)
+				assertEntries(t, d.Entries, model)
 			}
 		}
 		assert.NilError(rt, l.Close())
 	})
 }
 
-// segments gives the segment files, the last one last.
-func segments(t *testing.T, folder string) []string {
+// segmentFiles returns the paths of the segment files in order.
+func segmentFiles(t *testing.T, folder string) []string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(folder, "log-*"))
 	assert.NilError(t, err)
 	return paths
 }
 
-// Symptom: a replica doesn't start after a power loss. Sequence: the power
-// goes while a group of records is being written; some of its bytes are on
-// disk. Cause: an unfinished write taken for damage. It had been promised to
-// nobody, and is cut off.
-func TestTornTailIsCutOff(t *testing.T) {
+// Guards against treating a write that a crash left incomplete as corruption, so that the
+// replica couldn't start.
+func TestTornTailIsTruncated(t *testing.T) {
 	folder := t.TempDir()
 	l, _, err := walog.Open(folder, walog.Options{})
 	assert.NilError(t, err)
-	assert.NilError(t, l.Append(records(1, 3, 1)))
-	path := segments(t, folder)[0]
+	assert.NilError(t, l.Append(testEntries(1, 3, 1)))
+	path := segmentFiles(t, folder)[0]
 	before, err := os.ReadFile(path)
 	assert.NilError(t, err)
-	assert.NilError(t, l.Append(records(4, 5, 1)))
+	assert.NilError(t, l.Append(testEntries(4, 5, 1)))
 	assert.NilError(t, l.Close())
-	whole, err := os.ReadFile(path)
+	intact, err := os.ReadFile(path)
 	assert.NilError(t, err)
-	for cut := len(before) + 1; cut < len(whole); cut++ {
-		assert.NilError(t, os.WriteFile(path, whole[:cut], 0o600))
+	for cut := len(before) + 1; cut < len(intact); cut++ {
+		assert.NilError(t, os.WriteFile(path, intact[:cut], 0o600))
 		l, d, err := walog.Open(folder, walog.Options{})
 		assert.NilError(t, err, "cut at %d", cut)
-		assert.Assert(t, len(d.Entries) >= 3 && len(d.Entries) < 5, "cut at %d: %d records", cut, len(d.Entries))
-		assert.NilError(t, l.Append(records(uint64(len(d.Entries))+1, 6, 2)))
+		assert.Assert(t, len(d.Entries) >= 3 && len(d.Entries) < 5, "cut at %d: %d entries", cut, len(d.Entries))
+		assert.NilError(t, l.Append(testEntries(uint64(len(d.Entries))+1, 6, 2)))
 		assert.NilError(t, l.Close())
 		l, d, err = walog.Open(folder, walog.Options{})
 		assert.NilError(t, err)
@@ -123,24 +120,22 @@
 	}
 }
 
-// Symptom: a committed change is silently gone after a restart. Sequence: a
-// bit of an old record flips on the disk; on the next start the log is read up
-// to there and the rest dropped as a torn tail. Cause: damage to what had been
-// promised, taken for an unfinished write. Later frames say that it was synced.
-func TestDamageIsNotTakenForATornTail(t *testing.T) {
+// Guards against silently dropping synced entries after a corrupt one as if they were a
+// torn tail.
+func TestCorruptionIsNotTreatedAsTornTail(t *testing.T) {
 	folder := t.TempDir()
 	l, _, err := walog.Open(folder, walog.Options{})
 	assert.NilError(t, err)
-	assert.NilError(t, l.Append(records(1, 1, 1)))
-	assert.NilError(t, l.Append(records(2, 2, 1)))
-	assert.NilError(t, l.Append(records(3, 3, 1)))
+	assert.NilError(t, l.Append(testEntries(1, 1, 1)))
+	assert.NilError(t, l.Append(testEntries(2, 2, 1)))
+	assert.NilError(t, l.Append(testEntries(3, 3, 1)))
 	assert.NilError(t, l.Close())
-	path := segments(t, folder)[0]
-	whole, err := os.ReadFile(path)
+	path := segmentFiles(t, folder)[0]
+	intact, err := os.ReadFile(path)
 	assert.NilError(t, err)
-	record := len(whole) / 3
-	for at := range 2 * record {
-		damaged := append([]byte(nil), whole...)
+	entrySize := len(intact) / 3
+	for at := range 2 * entrySize {
+		damaged := append([]byte(nil), intact...)
 		damaged[at] ^= 0x10
 		assert.NilError(t, os.WriteFile(path, damaged, 0o600))
 		_, _, err := walog.Open(folder, walog.Options{})
@@ -148,21 +143,21 @@
 	}
 }
 
-func TestDamageElsewhereIsFound(t *testing.T) {
+func TestCorruptionIsDetected(t *testing.T) {
 	cases := []struct {
 		name   string
 		damage func(t *testing.T, folder string)
 	}{
-		{"a segment in the middle is gone", func(t *testing.T, folder string) {
-			assert.NilError(t, os.Remove(segments(t, folder)[1]))
+		{"missing segment in the middle", func(t *testing.T, folder string) {
+			assert.NilError(t, os.Remove(segmentFiles(t, folder)[1]))
 		}},
-		{"an older segment is short", func(t *testing.T, folder string) {
-			assert.NilError(t, os.Truncate(segments(t, folder)[0], 20))
+		{"truncated older segment", func(t *testing.T, folder string) {
+			assert.NilError(t, os.Truncate(segmentFiles(t, folder)[0], 20))
 		}},
-		{"the vote is damaged", func(t *testing.T, folder string) {
+		{"corrupt vote", func(t *testing.T, folder string) {
 			assert.NilError(t, os.WriteFile(filepath.Join(folder, "vote"), []byte("nonsense"), 0o600))
 		}},
-		{"the snapshot is damaged", func(t *testing.T, folder string) {
+		{"corrupt snapshot", func(t *testing.T, folder string) {
 			assert.NilError(t, os.WriteFile(filepath.Join(folder, "snapshot"), []byte("nonsense"), 0o600))
 		}},
 	}
@@ -171,9 +166,9 @@
 			folder := t.TempDir()
 			l, _ := open(t, folder)
 			for i := uint64(1); i < 60; i++ {
-				assert.NilError(t, l.Append(records(i, i, 1)))
+				assert.NilError(t, l.Append(testEntries(i, i, 1)))
 			}
-			assert.Assert(t, len(segments(t, folder)) >= 3)
+			assert.Assert(t, len(segmentFiles(t, folder)) >= 3)
 			assert.NilError(t, l.Close())
 			c.damage(t, folder)
 			_, _, err := walog.Open(folder, walog.Options{})
@@ -182,11 +177,9 @@
 	}
 }
 
-// Symptom: a record that was acknowledged is gone after a power loss, though
-// no write failed twice. Sequence: a sync fails, the kernel drops the pages, a
-// second sync succeeds. Cause: a failed sync tried again. The error must reach
-// the caller, who stops.
-func TestSyncErrorIsReported(t *testing.T) {
+// Guards against retrying a failed sync. The error must be returned so that the caller
+// stops.
+func TestSyncErrorIsReturned(t *testing.T) {
 	disk := errors.New("input/output error")
 	fail := false
 	l, _, err := walog.Open(t.TempDir(), walog.Options{Sync: func(f *os.File) error {
@@ -196,9 +189,9 @@
 		return f.Sync()
 	}})
 	assert.NilError(t, err)
-	assert.NilError(t, l.Append(records(1, 1, 1)))
+	assert.NilError(t, l.Append(testEntries(1, 1, 1)))
 	fail = true
-	assert.ErrorIs(t, l.Append(records(2, 2, 1)), disk)
+	assert.ErrorIs(t, l.Append(testEntries(2, 2, 1)), disk)
 	assert.ErrorIs(t, l.SaveVote(&wire.Vote{Term: 3}), disk)
 	assert.ErrorIs(t, l.WriteSnapshot(&wire.Snapshot{Index: 1}), disk)
 }
--- a/internal/store/walog/write.go
+++ b/internal/store/walog/write.go
@@ -1,4 +1,4 @@
-// This file defines how votes, records and snapshots are written.
+// This file defines how votes, log entries and snapshots are written.
 
 package walog
 
@@ -15,48 +15,47 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// Append writes records with one sync. Where the first of them is at a
-// position already held, what is held from there on is dropped first. A first
-// record that isn't the next one begins a new segment, as after a snapshot
-// that came from another replica.
-func (l *Log) Append(records []*wire.LogRecord) error {
-	if len(records) == 0 {
+// Append writes entries with one sync. Existing entries from the first new index on are
+// removed first. If the first entry doesn't directly follow the existing ones, as after a
+// snapshot from another replica, a new segment is started.
+func (l *Log) Append(entries []*wire.LogRecord) error {
+	if len(entries) == 0 {
 		return nil
 	}
-	if err := l.truncateFrom(records[0].Index); err != nil {
+	if err := l.truncateFrom(entries[0].Index); err != nil {
 		return err
 	}
-	newSegment := func() error { return l.ensureSegment(records[0].Index) }
-	if err := l.untilRoom("a new segment", newSegment, l.dropCoveredNow); err != nil {
+	newSegment := func() error { return l.ensureSegment(entries[0].Index) }
+	if err := l.retryWhileFull("a new segment", newSegment, l.compactToSnapshot); err != nil {
 		return err
 	}
 	s := l.segments[len(l.segments)-1]
 	l.buffer = l.buffer[:0]
-	start := s.length()
-	var ends []int64
-	for _, r := range records {
+	start := s.size()
+	var offsets []int64
+	for _, r := range entries {
 		payload, err := proto.Marshal(r)
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		l.buffer = appendFrame(l.buffer, payload, l.synced)
-		ends = append(ends, start+int64(len(l.buffer)))
+		l.buffer = appendFrame(l.buffer, payload, l.syncedSize)
+		offsets = append(offsets, start+int64(len(l.buffer)))
 	}
-	if err := l.untilRoom("records", l.writeFrames, l.dropCoveredNow); err != nil {
+	if err := l.retryWhileFull("records", l.writeFrames, l.compactToSnapshot); err != nil {
 		return err
 	}
-	if err := l.sync(l.file); err != nil {
+	if err := l.syncFile(l.file); err != nil {
 		return err
 	}
-	s.ends = append(s.ends, ends...)
-	l.synced = s.length()
+	s.endOffsets = append(s.endOffsets, offsets...)
+	l.syncedSize = s.size()
 	return nil
 }
 
 func (l *Log) ensureSegment(next uint64) error {
 	if l.file != nil {
 		s := l.segments[len(l.segments)-1]
-		if s.length() < l.options.SegmentSize && s.first+uint64(len(s.ends)) == next {
+		if s.size() < l.options.SegmentSize && s.firstIndex+uint64(len(s.endOffsets)) == next {
 			return nil
 		}
 	}
@@ -68,41 +67,41 @@
 	if l.file != nil {
 		l.file.Close()
 	}
-	l.file, l.synced = file, 0
-	l.segments = append(l.segments, &segment{path: path, first: next})
+	l.file, l.syncedSize = file, 0
+	l.segments = append(l.segments, &segment{path: path, firstIndex: next})
 	return l.syncFolder()
 }
 
-// truncateFrom drops the records from index on.
+// truncateFrom removes the entries from index on.
 func (l *Log) truncateFrom(index uint64) error {
 	for len(l.segments) > 0 {
 		s := l.segments[len(l.segments)-1]
-		if s.first+uint64(len(s.ends)) <= index {
+		if s.firstIndex+uint64(len(s.endOffsets)) <= index {
 			return nil
 		}
-		if s.first < index {
-			return l.shorten(s, index)
+		if s.firstIndex < index {
+			return l.truncateSegment(s, index)
 		}
-		if err := l.dropLast(); err != nil {
+		if err := l.removeLastSegment(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (l *Log) shorten(s *segment, index uint64) error {
-	s.ends = s.ends[:index-s.first]
-	if err := l.file.Truncate(s.length()); err != nil {
+func (l *Log) truncateSegment(s *segment, index uint64) error {
+	s.endOffsets = s.endOffsets[:index-s.firstIndex]
+	if err := l.file.Truncate(s.size()); err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	if _, err := l.file.Seek(s.length(), 0); err != nil {
+	if _, err := l.file.Seek(s.size(), 0); err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	l.synced = s.length()
-	return l.sync(l.file)
+	l.syncedSize = s.size()
+	return l.syncFile(l.file)
 }
 
-func (l *Log) dropLast() error {
+func (l *Log) removeLastSegment() error {
 	s := l.segments[len(l.segments)-1]
 	l.file.Close()
 	l.file = nil
@@ -113,32 +112,32 @@
 	if err := l.syncFolder(); err != nil {
 		return err
 	}
-	return l.openLast()
+	return l.openLastSegment()
 }
 
-// SaveVote replaces the vote.
+// SaveVote replaces the vote on disk.
 func (l *Log) SaveVote(v *wire.Vote) error {
-	return l.writeWhole(voteName, v)
+	return l.replaceMessage(voteName, v)
 }
 
-// WriteSnapshot replaces the snapshot. The records that it covers stay until
-// Compact, so a crash between the two loses nothing.
+// WriteSnapshot replaces the snapshot on disk. The entries that it covers are kept until
+// Compact is called, so that a crash in between loses nothing.
 func (l *Log) WriteSnapshot(s *wire.Snapshot) error {
-	if err := l.writeWhole(snapshotName, s); err != nil {
+	if err := l.replaceMessage(snapshotName, s); err != nil {
 		return err
 	}
-	l.waits.covered.Store(s.Index)
+	l.diskFull.snapshotIndex.Store(s.Index)
 	return nil
 }
 
-// Compact removes the segments that lie wholly at or before index. With
-// all it removes every segment, as after a snapshot from another replica that
-// is ahead of all records here.
+// Compact removes the segments whose entries are all at or before index, except the last
+// one. If all is set, it removes every segment, as after a snapshot from another replica
+// that is ahead of all entries.
 func (l *Log) Compact(index uint64, all bool) error {
 	for len(l.segments) > 0 {
 		s := l.segments[0]
 		last := len(l.segments) == 1
-		covered := s.first+uint64(len(s.ends)) <= index+1
+		covered := s.firstIndex+uint64(len(s.endOffsets)) <= index+1
 		if !all && (last || !covered) {
 			return nil
 		}
@@ -154,16 +153,16 @@
 	return l.syncFolder()
 }
 
-// writeWhole replaces a file so that after a crash either the old or the new
-// content is there, whole.
-func (l *Log) writeWhole(name string, m proto.Message) error {
+// replaceMessage replaces a file atomically: after a crash it has either the old or the new
+// content.
+func (l *Log) replaceMessage(name string, m proto.Message) error {
 	payload, err := proto.Marshal(m)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	path := filepath.Join(l.folder, name)
 	frame := appendFrame(nil, payload, 0)
-	if err := l.untilRoom(name, func() error { return l.writeNew(path+".new", frame) }, nil); err != nil {
+	if err := l.retryWhileFull(name, func() error { return l.writeFile(path+".new", frame) }, nil); err != nil {
 		return err
 	}
 	if err := os.Rename(path+".new", path); err != nil {
@@ -172,7 +171,7 @@
 	return l.syncFolder()
 }
 
-func (l *Log) readWhole(name string, m proto.Message) (bool, error) {
+func (l *Log) readMessage(name string, m proto.Message) (bool, error) {
 	data, err := os.ReadFile(filepath.Join(l.folder, name))
 	if os.IsNotExist(err) {
 		return false, nil
@@ -196,17 +195,17 @@
 		return trace.ConvertSystemError(err)
 	}
 	defer folder.Close()
-	return l.sync(folder)
+	return l.syncFile(folder)
 }
 
-// open waits for a descriptor where none is left: see package files.
+// open opens a file and waits while no file descriptor is available; see package files.
 func (l *Log) open(path string, flag int) (*os.File, error) {
 	return files.Open(path, flag, 0o600, func(err error) {
-		l.options.Logger.Warn("a file of the log waits for a descriptor", "path", path, "error", err)
+		l.options.Logger.Warn("no file descriptor available, retrying open", "path", path, "error", err)
 	})
 }
 
-func (l *Log) takeLock() error {
+func (l *Log) acquireLock() error {
 	file, err := os.OpenFile(filepath.Join(l.folder, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return trace.ConvertSystemError(err)
