--- a/internal/store/peers/transport.go
+++ b/internal/store/peers/transport.go
@@ -1,7 +1,7 @@
-// This file defines Transport, which carries the log's messages.
+// This file defines Transport, which sends the messages of the replicated log.
 
-// Package peers connects control replicas: it carries the messages of the
-// replicated log, founds a cluster, and finds replicas that wait to be let in.
+// Package peers connects control replicas: it sends the messages of the replicated log,
+// bootstraps a cluster, and tracks replicas that request to join.
 package peers
 
 import (
@@ -16,17 +16,16 @@
 )
 
 const (
-	// queueLength is how many batches wait for a slow peer. The log resends
-	// what is dropped.
+	// queueLength is the number of batches queued for a slow peer. The replicated log
+	// resends what is dropped.
 	queueLength = 512
 	retryDelay  = 100 * time.Millisecond
 )
 
-var dropped = metrics.NewCounter("sycamoredeck_peer_batches_dropped_total")
+var droppedBatches = metrics.NewCounter("sycamoredeck_peer_batches_dropped_total")
 
-// Transport sends messages to replicas, in order for each, and loses them
-// where a replica can't be reached. The zero value isn't usable; Pool must be
-// set.
+// Transport sends messages to replicas, in order for each, and drops them if a replica is
+// unreachable. Pool must be set.
 type Transport struct {
 	Pool *link.Pool
 
@@ -37,16 +36,16 @@
 	senders sync.WaitGroup
 }
 
-// Send queues messages for a replica and never blocks.
+// Send queues messages for a replica. It never blocks.
 func (t *Transport) Send(to *wire.ControlMember, messages []*wire.PeerMessage) {
 	select {
 	case t.queue(to.Address) <- messages:
 	default:
-		dropped.Inc()
+		droppedBatches.Inc()
 	}
 }
 
-// Close ends all sending.
+// Close stops all senders and waits for them.
 func (t *Transport) Close() {
 	t.mu.Lock()
 	if t.cancel != nil {
@@ -67,14 +66,14 @@
 	if q == nil {
 		q = make(chan []*wire.PeerMessage, queueLength)
 		t.queues[address] = q
-		t.senders.Go(func() { t.run(address, q) })
+		t.senders.Go(func() { t.runSender(address, q) })
 	}
 	return q
 }
 
-func (t *Transport) run(address string, q chan []*wire.PeerMessage) {
+func (t *Transport) runSender(address string, q chan []*wire.PeerMessage) {
 	for t.ctx.Err() == nil {
-		t.stream(address, q)
+		t.streamMessages(address, q)
 		select {
 		case <-t.ctx.Done():
 		case <-time.After(retryDelay):
@@ -82,9 +81,9 @@
 	}
 }
 
-// stream sends until the stream breaks. A stream on a connection that went
-// silent breaks when its Link replaces the connection.
-func (t *Transport) stream(address string, q chan []*wire.PeerMessage) {
+// streamMessages sends queued messages until the stream fails. A stream on an unresponsive
+// connection fails when its Link replaces the connection.
+func (t *Transport) streamMessages(address string, q chan []*wire.PeerMessage) {
 	conn, err := t.Pool.Conn(address)
 	if err != nil {
 		return
@@ -93,7 +92,7 @@
 	defer cancel()
 	stream, err := wire.NewPeerServiceClient(conn).Exchange(ctx)
 	if err != nil {
-		drop(q)
+		dropQueued(q)
 		return
 	}
 	for {
@@ -108,13 +107,13 @@
 	}
 }
 
-// drop empties the queue of a replica that can't be reached: what is in it
-// will be stale once it can.
-func drop(q chan []*wire.PeerMessage) {
+// dropQueued empties the queue of an unreachable replica; its messages would be stale by
+// the time the replica is reachable.
+func dropQueued(q chan []*wire.PeerMessage) {
 	for {
 		select {
 		case <-q:
-			dropped.Inc()
+			droppedBatches.Inc()
 		default:
 			return
 		}
--- a/internal/store/rules/rules.go
+++ b/internal/store/rules/rules.go
@@ -1,7 +1,6 @@
-// This file defines the check of a configuration before it is accepted.
+// This file defines Validate.
 
-// Package rules refuses configurations that could not be carried out, and
-// names the field and the reason.
+// Package rules validates configurations. Errors name the field and the reason.
 package rules
 
 import (
@@ -18,20 +17,20 @@
 	maxTimeoutMS = 600_000
 )
 
-// Error is why a configuration is refused.
+// Error describes an invalid field.
 type Error struct {
-	// Path names the field, as in JobKinds[2].ClientAccount.
+	// Path is the path of the field, such as JobKinds[2].ClientAccount.
 	Path, Reason string
 }
 
 var _ error = (*Error)(nil)
 
-// Error gives path and reason in one line.
+// Error returns the path and the reason.
 func (e *Error) Error() string {
 	return e.Path + ": " + e.Reason
 }
 
-// Check returns an *Error for the first field that isn't right.
+// Validate returns an *Error for the first invalid field.
 func Validate(c *wire.Configuration) error {
 	if c == nil {
 		return &Error{"Configuration", "is missing"}
@@ -41,27 +40,27 @@
 	}
 	accounts := map[string]bool{}
 	for i, a := range c.ClientAccounts {
-		if err := checkAccount(fmt.Sprintf("ClientAccounts[%d]", i), a, accounts); err != nil {
+		if err := validateAccount(fmt.Sprintf("ClientAccounts[%d]", i), a, accounts); err != nil {
 			return err
 		}
 	}
 	services := map[string]bool{}
 	for i, s := range c.Services {
-		if err := checkService(fmt.Sprintf("Services[%d]", i), s, accounts, services); err != nil {
+		if err := validateService(fmt.Sprintf("Services[%d]", i), s, accounts, services); err != nil {
 			return err
 		}
 	}
 	kinds := map[string]bool{}
 	for i, k := range c.JobKinds {
-		if err := checkKind(fmt.Sprintf("JobKinds[%d]", i), k, accounts, kinds); err != nil {
+		if err := validateJobKind(fmt.Sprintf("JobKinds[%d]", i), k, accounts, kinds); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func checkAccount(path string, a *wire.ClientAccount, seen map[string]bool) error {
-	if err := checkName(path, a.GetName(), a.GetName(), seen); err != nil {
+func validateAccount(path string, a *wire.ClientAccount, seen map[string]bool) error {
+	if err := validateName(path, a.GetName(), a.GetName(), seen); err != nil {
 		return err
 	}
 	if !(a.Share > 0) || a.Share > maxShare || math.IsInf(a.Share, 0) {
@@ -70,11 +69,11 @@
 	return nil
 }
 
-func checkService(path string, s *wire.Service, accounts, seen map[string]bool) error {
-	if err := checkName(path, s.GetName(), s.GetName(), seen); err != nil {
+func validateService(path string, s *wire.Service, accounts, seen map[string]bool) error {
+	if err := validateName(path, s.GetName(), s.GetName(), seen); err != nil {
 		return err
 	}
-	if err := checkOwner(path, s.ClientAccount, accounts); err != nil {
+	if err := validateAccountReference(path, s.ClientAccount, accounts); err != nil {
 		return err
 	}
 	if d := s.DefaultTimeout; d != nil {
@@ -85,11 +84,11 @@
 	return nil
 }
 
-func checkKind(path string, k *wire.JobKind, accounts, seen map[string]bool) error {
-	if err := checkName(path, k.GetName(), k.GetClientAccount()+"/"+k.GetName(), seen); err != nil {
+func validateJobKind(path string, k *wire.JobKind, accounts, seen map[string]bool) error {
+	if err := validateName(path, k.GetName(), k.GetClientAccount()+"/"+k.GetName(), seen); err != nil {
 		return err
 	}
-	if err := checkOwner(path, k.ClientAccount, accounts); err != nil {
+	if err := validateAccountReference(path, k.ClientAccount, accounts); err != nil {
 		return err
 	}
 	switch k.Class {
@@ -103,7 +102,7 @@
 	return nil
 }
 
-func checkName(path, name, key string, seen map[string]bool) error {
+func validateName(path, name, key string, seen map[string]bool) error {
 	if !setup.NamePattern.MatchString(name) {
 		return &Error{path + ".Name", fmt.Sprintf("is %q; must be 1 to 64 of a-z, 0-9 and '-'", name)}
 	}
@@ -114,7 +113,7 @@
 	return nil
 }
 
-func checkOwner(path, account string, accounts map[string]bool) error {
+func validateAccountReference(path, account string, accounts map[string]bool) error {
 	if !accounts[account] {
 		return &Error{path + ".ClientAccount", fmt.Sprintf("%q isn't among ClientAccounts", account)}
 	}
