--- a/internal/store/quorum/election.go
+++ b/internal/store/quorum/election.go
@@ -64,7 +64,7 @@
 // campaign starts an election, or a pre-election for a pre-candidate. Pre-vote prevents a
 // replica that was partitioned from returning with a higher term and deposing a healthy
 // leader.
-func (c *Core) campaign(role Role, handover bool) {
+func (c *Core) campaign(role Role, transfer bool) {
 	c.role = role
 	c.leader = 0
 	c.votes = map[uint64]bool{c.options.ID: true}
@@ -87,7 +87,7 @@
 			continue
 		}
 		c.send(&wire.PeerMessage{
-			Kind: kind, To: m.ReplicaId, Term: term, Handover: handover,
+			Kind: kind, To: m.ReplicaId, Term: term, Handover: transfer,
 			Index: c.LastIndex(), LogTerm: c.termAt(c.LastIndex()),
 		})
 	}
