--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -46,17 +46,17 @@
 	record struct {
 		announcement *wire.Announcement
 		lastSeen     time.Time
-		// direct is when it announced itself here, and not through a peer.
+		// lastDirect is when it announced itself here, and not through a peer.
 		lastDirect time.Time
 		usable     bool
 	}
 
 	// Options are fixed for the life of a Roster.
 	Options struct {
-		// Limit is the age of the last sign of life from which on a backend
+		// MaxAge is the age of the last sign of life from which on a backend
 		// server isn't used.
 		MaxAge time.Duration
-		// Changed is called with the usable backend servers of a service
+		// OnChange is called with the usable backend servers of a service
 		// whenever they change, one call at a time.
 		OnChange func(service string, usable []*wire.Announcement)
 	}
@@ -99,7 +99,7 @@
 	}
 }
 
-// Hear takes an announcement of the given age. Direct says that it was made
+// Announce takes an announcement of the given age. Direct says that it was made
 // to this entry.
 func (r *Roster) Announce(now time.Time, a *wire.Announcement, age time.Duration, direct bool) error {
 	if err := Check(a); err != nil {
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// Reply notes a sign of life from an answer to a request.
+// RecordReply notes a sign of life from an answer to a request.
 func (r *Roster) RecordReply(now time.Time, id string, incarnation uint64, leaving bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -181,7 +181,7 @@
 	r.refresh(now)
 }
 
-// review works out anew which backend servers are usable.
+// refresh works out anew which backend servers are usable.
 func (r *Roster) refresh(now time.Time) {
 	changed := map[string]bool{}
 	for id, k := range r.records {
@@ -199,7 +199,7 @@
 	}
 }
 
-// Direct lists what was announced here within the limit, for the peers.
+// DirectAnnouncements lists what was announced here within the limit, for the peers.
 func (r *Roster) DirectAnnouncements(now time.Time) []*wire.HeardAnnouncement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleet/slots/slots.go
+++ b/internal/fleet/slots/slots.go
@@ -15,7 +15,7 @@
 )
 
 type (
-	// past is a view that may still be in force at other entries.
+	// previousView is a view that may still be in force at other entries.
 	previousView struct {
 		entries []string
 		until   time.Time
@@ -59,7 +59,7 @@
 	return true
 }
 
-// Part returns how many of a backend server's slots this entry may use.
+// Share returns how many of a backend server's slots this entry may use.
 func (d Divider) Share(server string, slots uint32, now time.Time) int {
 	part := 0
 	for slot := range slots {
--- a/internal/front/admit/queue.go
+++ b/internal/front/admit/queue.go
@@ -21,7 +21,7 @@
 		Account  string
 		Weight   float64
 		Deadline time.Time
-		// Latest is the last moment at which it makes sense to start.
+		// LatestStart is the last moment at which it makes sense to start.
 		LatestStart time.Time
 		Grant       func(T)
 
@@ -30,7 +30,7 @@
 
 	accountQueue[T any] struct {
 		waiters []*Waiter[T]
-		// start is the virtual time at which the account's next call begins.
+		// virtualStart is the virtual time at which the account's next call begins.
 		virtualStart float64
 	}
 
--- a/internal/front/calls/calls.go
+++ b/internal/front/calls/calls.go
@@ -1,7 +1,7 @@
-// This file defines Calls, the path of a latency-critical request.
+// This file defines Server, which handles latency-critical requests.
 
-// Package calls serves latency-critical requests at an entry: it checks them,
-// gets them a slot, sends them, and sends them again where that can do no harm.
+// Package calls serves latency-critical requests at an entry: it validates them, assigns
+// them a slot, sends them to a backend server, and retries them where that is safe.
 package calls
 
 import (
@@ -27,14 +27,13 @@
 
 const (
 	maxRequestID = 128
-	// attemptShare is the part of the remaining time that an attempt gets
-	// while another may follow it, so that a backend server that hangs
-	// doesn't use up the whole.
+	// attemptShare is the fraction of the remaining time given to an attempt that may be
+	// retried, so that a hanging backend server doesn't use up all of it.
 	attemptShare = 0.6
-	// abortTimeout is how long past its deadline a request may still be told
-	// that it wasn't run, while its record is cleared.
+	// abortTimeout bounds the removal of the dispatch record of a request that was not
+	// run. It may extend past the request's deadline.
 	abortTimeout = 500 * time.Millisecond
-	// defaultRetryAfter is told where nothing better is known.
+	// defaultRetryAfter is the retry delay where no estimate exists.
 	defaultRetryAfter = 100 * time.Millisecond
 )
 
@@ -49,23 +48,23 @@
 )
 
 type (
-	// Options are fixed for the life of a Calls.
+	// Options configure a Server.
 	Options struct {
 		Clock    clockwork.Clock
 		Settings *wire.EntrySettings
 		Roster   *roster.Roster
 		Fence    *fence.Fence
-		// Route is given to each service.
+		// Route holds the options of every service.
 		Route route.Options
 	}
 
-	// book is the configuration as calls need it. It is immutable.
+	// configIndex indexes a configuration by name. It is immutable.
 	configIndex struct {
 		accounts map[string]*wire.ClientAccount
 		services map[string]*wire.Service
 	}
 
-	// Calls serves CallerService. It is made by New.
+	// Server implements CallerService.
 	Server struct {
 		wire.UnimplementedCallerServiceServer
 		options Options
@@ -76,7 +75,7 @@
 		services map[string]*route.Service
 	}
 
-	// call is one request on its way.
+	// call is the state of one request.
 	call struct {
 		request   *wire.CallRequest
 		account   *wire.ClientAccount
@@ -84,9 +83,9 @@
 		startedAt time.Time
 		deadline  time.Time
 		attempts  uint32
-		// mayHaveRun is set once an attempt ended without being known. Of a
-		// resend that isn't idempotent it is assumed, until its record shows
-		// that no earlier send can have run.
+		// mayHaveRun is set after an attempt with unknown outcome. For a non-idempotent
+		// resend it is set from the start, until a granted dispatch record shows that no
+		// earlier attempt can have run.
 		mayHaveRun bool
 		tried      []string
 		permit     *fence.Permit
@@ -95,7 +94,7 @@
 
 var _ wire.CallerServiceServer = (*Server)(nil)
 
-// New returns a Calls that knows no service yet.
+// New returns a Server without configuration and backend servers.
 func New(options Options) *Server {
 	return &Server{
 		options:  options,
@@ -104,74 +103,74 @@
 	}
 }
 
-// Configure puts a configuration in force.
-func (c *Server) Configure(v *wire.ConfigurationVersion) {
-	b := &configIndex{accounts: map[string]*wire.ClientAccount{}, services: map[string]*wire.Service{}}
+// Configure replaces the configuration.
+func (s *Server) Configure(v *wire.ConfigurationVersion) {
+	index := &configIndex{accounts: map[string]*wire.ClientAccount{}, services: map[string]*wire.Service{}}
 	for _, a := range v.Configuration.GetClientAccounts() {
-		b.accounts[a.Name] = a
+		index.accounts[a.Name] = a
 	}
-	for _, s := range v.Configuration.GetServices() {
-		b.services[s.Name] = s
+	for _, service := range v.Configuration.GetServices() {
+		index.services[service.Name] = service
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.config = b
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.config = index
 }
 
-// Update tells the usable backend servers of a service.
-func (c *Server) Update(service string, usable []*wire.Announcement) {
-	c.service(service).Update(usable)
+// Update replaces the usable backend servers of a service.
+func (s *Server) Update(service string, usable []*wire.Announcement) {
+	s.service(service).Update(usable)
 }
 
-// Resize works out all slots anew after the entries have changed.
-func (c *Server) Resize() {
-	c.each((*route.Service).Resize)
+// Resize recomputes the slots of all services after the entries have changed.
+func (s *Server) Resize() {
+	s.each((*route.Service).Resize)
 }
 
-// Shed answers the waiting calls that have become hopeless.
-func (c *Server) Shed() {
-	c.each((*route.Service).Shed)
+// Shed rejects waiting calls that can no longer start in time.
+func (s *Server) Shed() {
+	s.each((*route.Service).Shed)
 }
 
-func (c *Server) each(f func(*route.Service)) {
-	c.mu.RLock()
-	defer c.mu.RUnlock()
-	for _, s := range c.services {
-		f(s)
+func (s *Server) each(f func(*route.Service)) {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
+	for _, service := range s.services {
+		f(service)
 	}
 }
 
-func (c *Server) service(name string) *route.Service {
-	c.mu.RLock()
-	s := c.services[name]
-	c.mu.RUnlock()
-	if s != nil {
-		return s
+func (s *Server) service(name string) *route.Service {
+	s.mu.RLock()
+	service := s.services[name]
+	s.mu.RUnlock()
+	if service != nil {
+		return service
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.services[name] == nil {
-		c.services[name] = route.NewService(c.options.Route)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.services[name] == nil {
+		s.services[name] = route.NewService(s.options.Route)
 	}
-	return c.services[name]
+	return s.services[name]
 }
 
-// Call serves one request.
-func (c *Server) Call(ctx context.Context, r *wire.CallRequest) (*wire.CallResponse, error) {
-	one, err := c.admit(r)
+// Call handles one request.
+func (s *Server) Call(ctx context.Context, r *wire.CallRequest) (*wire.CallResponse, error) {
+	c, err := s.admit(r)
 	if err != nil {
 		refusedTotal.Inc()
 		return nil, err
 	}
-	ctx, cancel := context.WithDeadline(ctx, one.deadline)
+	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
 	var response *wire.CallResponse
 	if r.Idempotent {
-		response = c.run(ctx, one)
+		response = s.run(ctx, c)
 	} else {
-		response = c.runOnce(ctx, one)
+		response = s.runOnce(ctx, c)
 	}
-	callSeconds.UpdateDuration(one.startedAt)
+	callSeconds.UpdateDuration(c.startedAt)
 	countOutcome(response.Outcome)
 	return response, nil
 }
@@ -187,28 +186,28 @@
 	}
 }
 
-// admit checks a request and names the field that is wrong.
-func (c *Server) admit(r *wire.CallRequest) (*call, error) {
-	if err := checkRequest(r, int(c.options.Settings.MaxPayloadBytes)); err != nil {
+// admit validates a request. Its errors name the invalid field.
+func (s *Server) admit(r *wire.CallRequest) (*call, error) {
+	if err := checkRequest(r, int(s.options.Settings.MaxPayloadBytes)); err != nil {
 		return nil, err
 	}
-	c.mu.RLock()
-	b := c.config
-	c.mu.RUnlock()
-	if b == nil {
+	s.mu.RLock()
+	index := s.config
+	s.mu.RUnlock()
+	if index == nil {
 		return nil, status.Error(codes.Unavailable, "this entry has no configuration yet")
 	}
-	account, service := b.accounts[r.ClientAccount], b.services[r.Service]
+	account, service := index.accounts[r.ClientAccount], index.services[r.Service]
 	if account == nil || service == nil || service.ClientAccount != r.ClientAccount {
 		return nil, unknownNameError(r, account != nil)
 	}
-	timeout, err := c.timeout(r, service)
+	timeout, err := s.timeout(r, service)
 	if err != nil {
 		return nil, err
 	}
-	now := c.options.Clock.Now()
+	now := s.options.Clock.Now()
 	return &call{
-		request: r, account: account, service: c.service(r.Service),
+		request: r, account: account, service: s.service(r.Service),
 		startedAt: now, deadline: now.Add(timeout),
 		mayHaveRun: r.Resend && !r.Idempotent,
 	}, nil
@@ -224,8 +223,8 @@
 	return nil
 }
 
-// unknownNameError tells a name that isn't configured from one that can't be. Known
-// names were checked when they were configured.
+// unknownNameError returns InvalidArgument for a malformed name and NotFound for one that
+// isn't configured.
 func unknownNameError(r *wire.CallRequest, accountKnown bool) error {
 	switch {
 	case !setup.NamePattern.MatchString(r.ClientAccount):
@@ -239,7 +238,7 @@
 	}
 }
 
-// visible keeps out what would break a header line.
+// visibleASCII reports whether s is safe to use in a header line.
 func visibleASCII(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
@@ -249,8 +248,8 @@
 	return true
 }
 
-func (c *Server) timeout(r *wire.CallRequest, s *wire.Service) (time.Duration, error) {
-	limit := c.options.Settings.MaxTimeout.AsDuration()
+func (s *Server) timeout(r *wire.CallRequest, service *wire.Service) (time.Duration, error) {
+	limit := s.options.Settings.MaxTimeout.AsDuration()
 	switch {
 	case r.Timeout != nil:
 		d := r.Timeout.AsDuration()
@@ -258,184 +257,185 @@
 			return 0, status.Errorf(codes.InvalidArgument, "Timeout is %v; must be above 0 and at most %v", d, limit)
 		}
 		return d, nil
-	case s.DefaultTimeout != nil:
-		return min(s.DefaultTimeout.AsDuration(), limit), nil
+	case service.DefaultTimeout != nil:
+		return min(service.DefaultTimeout.AsDuration(), limit), nil
 	default:
-		return c.options.Settings.DefaultTimeout.AsDuration(), nil
+		return s.options.Settings.DefaultTimeout.AsDuration(), nil
 	}
 }
 
-// runOnce runs a request that must not be repeated. Those who send the same
-// request id while it runs, or soon after, get the same response.
-func (c *Server) runOnce(ctx context.Context, one *call) *wire.CallResponse {
-	run, first := c.options.Fence.Join(one.request)
+// runOnce runs a non-idempotent request. Callers who send the same request ID while it
+// runs, or shortly after, get the same response.
+func (s *Server) runOnce(ctx context.Context, c *call) *wire.CallResponse {
+	execution, first := s.options.Fence.Join(c.request)
 	if !first {
-		if response := run.Wait(ctx); response != nil {
+		if response := execution.Wait(ctx); response != nil {
 			return response
 		}
-		return one.unknown("the request is still running")
+		return c.unknown("the request is still running")
 	}
-	// The run goes on when this caller goes away: others may have joined.
+	// Other callers may have joined, so that the request outlives its first caller.
 	ctx = context.WithoutCancel(ctx)
-	ctx, cancel := context.WithDeadline(ctx, one.deadline)
+	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
-	response := c.run(ctx, one)
-	if one.permit != nil {
-		response = c.closeDispatch(ctx, one, response)
+	response := s.run(ctx, c)
+	if c.permit != nil {
+		response = s.closeDispatch(ctx, c, response)
 	}
-	// A response given without a look at the record isn't held: it says
-	// nothing that the next send couldn't learn better.
-	c.options.Fence.Finish(run, response, one.permit != nil)
+	// A response without a granted dispatch record isn't cached: a resend may be answered
+	// more precisely from the record.
+	s.options.Fence.Finish(execution, response, c.permit != nil)
 	return response
 }
 
-// settle brings the dispatch record in line with the response.
-func (c *Server) closeDispatch(ctx context.Context, one *call, response *wire.CallResponse) *wire.CallResponse {
+// closeDispatch updates the dispatch record to match the response.
+func (s *Server) closeDispatch(ctx context.Context, c *call, response *wire.CallResponse) *wire.CallResponse {
 	switch response.Outcome {
 	case wire.Outcome_OUTCOME_COMPLETED:
-		c.options.Fence.Complete(one.permit)
+		s.options.Fence.Complete(c.permit)
 	case wire.Outcome_OUTCOME_NOT_RUN:
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), abortTimeout)
 		defer cancel()
-		if err := c.options.Fence.Abort(ctx, one.permit); err != nil {
-			// It was not run, but a record that says it may have been would
-			// answer the caller's next try, against this answer.
-			return one.unknown("not run, but its record could not be cleared")
+		if err := s.options.Fence.Abort(ctx, c.permit); err != nil {
+			// The caller's next attempt would be answered from the open record, which
+			// contradicts "not run".
+			return c.unknown("not run, but its record could not be cleared")
 		}
 	default:
 	}
 	return response
 }
 
-// run sends the request until it is answered or can't be sent again.
-func (c *Server) run(ctx context.Context, one *call) *wire.CallResponse {
-	c.budget.Deposit(one.request.ClientAccount, one.request.Service)
+// run sends the request until it is answered or may not be retried.
+func (s *Server) run(ctx context.Context, c *call) *wire.CallResponse {
+	s.budget.Deposit(c.request.ClientAccount, c.request.Service)
 	for {
-		response, err := c.attempt(ctx, one)
+		response, err := s.attempt(ctx, c)
 		if response != nil {
 			return response
 		}
-		if !c.mayRetry(ctx, one) {
-			return one.exhausted(err)
+		if !s.mayRetry(ctx, c) {
+			return c.exhausted(err)
 		}
 		retriesTotal.Inc()
 	}
 }
 
-// mayRetry allows another attempt of what is idempotent or surely not run.
-func (c *Server) mayRetry(ctx context.Context, one *call) bool {
-	if one.mayHaveRun && !one.request.Idempotent {
+// mayRetry reports whether another attempt is safe and within the limits.
+func (s *Server) mayRetry(ctx context.Context, c *call) bool {
+	if c.mayHaveRun && !c.request.Idempotent {
 		return false
 	}
-	if one.attempts >= c.options.Settings.MaxAttempts || ctx.Err() != nil {
+	if c.attempts >= s.options.Settings.MaxAttempts || ctx.Err() != nil {
 		return false
 	}
-	return c.budget.TryWithdraw(one.request.ClientAccount, one.request.Service)
+	return s.budget.TryWithdraw(c.request.ClientAccount, c.request.Service)
 }
 
-// attempt takes a slot and sends the request once. A nil response asks for
-// another attempt; the error says why this one failed.
-func (c *Server) attempt(ctx context.Context, one *call) (*wire.CallResponse, error) {
-	ask := route.SlotRequest{
-		Account: one.request.ClientAccount, Weight: one.account.Share,
-		Deadline: one.deadline, Tried: one.tried,
+// attempt acquires a slot and sends the request once. If the response is nil, the attempt
+// may be retried and the error is the reason why it failed.
+func (s *Server) attempt(ctx context.Context, c *call) (*wire.CallResponse, error) {
+	slot := route.SlotRequest{
+		Account: c.request.ClientAccount, Weight: c.account.Share,
+		Deadline: c.deadline, Tried: c.tried,
 	}
-	if response := c.openDispatch(ctx, one, ask); response != nil {
+	if response := s.openDispatch(ctx, c, slot); response != nil {
 		return response, nil
 	}
-	b, err := one.service.Acquire(ctx, ask)
+	b, err := c.service.Acquire(ctx, slot)
 	if err != nil {
-		return one.refused(err), nil
+		return c.refused(err), nil
 	}
-	began := c.options.Clock.Now()
-	if !began.Before(one.deadline) {
-		one.service.Release(b, route.AttemptOutcome{})
-		return one.notRun("the deadline passed before it was sent", defaultRetryAfter), nil
+	began := s.options.Clock.Now()
+	if !began.Before(c.deadline) {
+		c.service.Release(b, route.AttemptOutcome{})
+		return c.notRun("the deadline passed before it was sent", defaultRetryAfter), nil
 	}
-	one.attempts++
+	c.attempts++
 	attemptsTotal.Inc()
-	one.tried = append(one.tried, b.ID())
-	answer, late, err := b.Do(ctx, began, route.Request{
-		ID: one.request.RequestId, Account: one.request.ClientAccount, Service: one.request.Service,
-		Payload: one.request.Payload, Deadline: c.attemptDeadline(one, began),
-		Idempotent: one.request.Idempotent, MaxResponseBytes: int(c.options.Settings.MaxPayloadBytes),
+	c.tried = append(c.tried, b.ID())
+	response, late, err := b.Do(ctx, began, route.Request{
+		ID: c.request.RequestId, Account: c.request.ClientAccount, Service: c.request.Service,
+		Payload: c.request.Payload, Deadline: s.attemptDeadline(c, began),
+		Idempotent: c.request.Idempotent, MaxResponseBytes: int(s.options.Settings.MaxPayloadBytes),
 	})
-	c.recordAttempt(one, b, began, answer, late, err)
+	s.recordAttempt(c, b, began, response, late, err)
 	if err == nil {
-		return one.completed(b.ID(), answer), nil
+		return c.completed(b.ID(), response), nil
 	}
-	one.mayHaveRun = one.mayHaveRun || !errors.Is(err, route.ErrNotRun)
+	c.mayHaveRun = c.mayHaveRun || !errors.Is(err, route.ErrNotRun)
 	return nil, err
 }
 
-// attemptDeadline leaves time for another attempt where there may be one, and
-// where the part for this one suffices for nearly all requests.
-func (c *Server) attemptDeadline(one *call, now time.Time) time.Time {
-	if !one.request.Idempotent || one.attempts >= c.options.Settings.MaxAttempts {
-		return one.deadline
+// attemptDeadline reserves time for a retry if one is allowed and the rest suffices for
+// nearly all requests.
+func (s *Server) attemptDeadline(c *call, now time.Time) time.Time {
+	if !c.request.Idempotent || c.attempts >= s.options.Settings.MaxAttempts {
+		return c.deadline
 	}
-	part := time.Duration(float64(one.deadline.Sub(now)) * attemptShare)
-	if part < one.service.TailLatency() {
-		return one.deadline
+	share := time.Duration(float64(c.deadline.Sub(now)) * attemptShare)
+	if share < c.service.TailLatency() {
+		return c.deadline
 	}
-	return now.Add(part)
+	return now.Add(share)
 }
 
-func (c *Server) recordAttempt(one *call, b *route.Backend, began time.Time, answer route.Response, late func() bool, err error) {
-	now := c.options.Clock.Now()
-	ended := route.AttemptOutcome{}
+// recordAttempt records the outcome of an attempt and releases its slot. If a late
+// response is outstanding, the slot is released once it has arrived or timed out.
+func (s *Server) recordAttempt(c *call, b *route.Backend, began time.Time, response route.Response, late func() bool, err error) {
+	now := s.options.Clock.Now()
+	outcome := route.AttemptOutcome{}
 	switch {
 	case err == nil:
-		ended.Latency = max(now.Sub(began), 1)
-		c.options.Roster.RecordReply(now, b.ID(), b.Incarnation(), answer.Leaving)
-	case answer.Status != 0: // refused, but alive
-		c.options.Roster.RecordReply(now, b.ID(), b.Incarnation(), answer.Leaving)
+		outcome.Latency = max(now.Sub(began), 1)
+		s.options.Roster.RecordReply(now, b.ID(), b.Incarnation(), response.Leaving)
+	case response.Status != 0: // rejected, but alive
+		s.options.Roster.RecordReply(now, b.ID(), b.Incarnation(), response.Leaving)
 	default:
-		ended.Failed = true
+		outcome.Failed = true
 	}
 	if late == nil {
-		one.service.Release(b, ended)
+		c.service.Release(b, outcome)
 		return
 	}
-	one.service.RecordOutcome(b, ended)
+	c.service.RecordOutcome(b, outcome)
 	go func() {
-		ended := route.AttemptOutcome{}
+		outcome := route.AttemptOutcome{}
 		if late() {
-			ended.LateLatency = c.options.Clock.Since(began)
+			outcome.LateLatency = s.options.Clock.Since(began)
 		}
-		one.service.Release(b, ended)
+		c.service.Release(b, outcome)
 	}()
 }
 
-// fenced gets a non-idempotent request its pass before the first attempt. It
-// holds no slot while it waits for the commit: without a leader that may take
-// all of its time, and calls that need no record would wait with it. What
-// would be refused a slot now isn't recorded first, so that overload of a
-// service adds no commits.
-func (c *Server) openDispatch(ctx context.Context, one *call, ask route.SlotRequest) *wire.CallResponse {
-	if one.request.Idempotent || one.permit != nil {
+// openDispatch acquires the permit of a non-idempotent request before its first attempt.
+// The request holds no slot while it waits for the commit, which may take until its
+// deadline if there is no leader. A request that would get no slot is rejected without a
+// record, so that overload of a service causes no commits.
+func (s *Server) openDispatch(ctx context.Context, c *call, slot route.SlotRequest) *wire.CallResponse {
+	if c.request.Idempotent || c.permit != nil {
 		return nil
 	}
-	if err := one.service.Check(ask); err != nil {
-		return one.refused(err)
+	if err := c.service.Check(slot); err != nil {
+		return c.refused(err)
 	}
-	pass, recorded, err := c.options.Fence.Open(ctx, one.request, one.deadline.Sub(one.startedAt))
+	permit, recorded, err := s.options.Fence.Open(ctx, c.request, c.deadline.Sub(c.startedAt))
 	switch {
 	case err != nil:
-		return one.notRun("its dispatch can't be recorded: "+status.Convert(err).Message(), defaultRetryAfter)
-	case pass == nil && recorded.State == wire.DispatchState_DISPATCH_STATE_COMPLETED:
-		return one.unknown("it was completed through entry " + recorded.EntryId + ", whose answer isn't held here")
-	case pass == nil:
-		return one.unknown("it was sent through entry " + recorded.EntryId)
+		return c.notRun("its dispatch can't be recorded: "+status.Convert(err).Message(), defaultRetryAfter)
+	case permit == nil && recorded.State == wire.DispatchState_DISPATCH_STATE_COMPLETED:
+		return c.unknown("it was completed through entry " + recorded.EntryId + ", whose answer isn't held here")
+	case permit == nil:
+		return c.unknown("it was sent through entry " + recorded.EntryId)
 	}
-	one.permit, one.mayHaveRun = pass, false
+	c.permit, c.mayHaveRun = permit, false
 	return nil
 }
 
-func (c *call) completed(server string, a route.Response) *wire.CallResponse {
+func (c *call) completed(server string, response route.Response) *wire.CallResponse {
 	return &wire.CallResponse{
 		RequestId: c.request.RequestId, Outcome: wire.Outcome_OUTCOME_COMPLETED,
-		Payload: a.Payload, Status: uint32(a.Status), Attempts: c.attempts, BackendServerId: server,
+		Payload: response.Payload, Status: uint32(response.Status), Attempts: c.attempts, BackendServerId: server,
 	}
 }
 
--- a/internal/front/fence/fence.go
+++ b/internal/front/fence/fence.go
@@ -1,8 +1,8 @@
-// This file defines Fence, which sees to it that nothing runs twice.
+// This file defines Fence, which prevents requests from running twice.
 
-// Package fence keeps requests that must not be repeated from being sent more
-// than once, by any entry: before the first byte a dispatch record is
-// committed, and whoever comes second is told what is recorded.
+// Package fence prevents non-idempotent requests from being sent more than once across
+// all entries. A dispatch record is committed before the first byte of a request is sent;
+// a resend through any entry is answered from that record.
 package fence
 
 import (
@@ -21,9 +21,9 @@
 )
 
 const (
-	// responseTTL is how long answers are held for callers who ask again.
+	// responseTTL is how long responses are cached for resends.
 	responseTTL = time.Minute
-	// maxCachedBytes bounds the answers held by an entry.
+	// maxCachedBytes bounds the cached responses of an entry.
 	maxCachedBytes = 64 << 20
 	closeTimeout   = 5 * time.Second
 )
@@ -35,7 +35,7 @@
 )
 
 type (
-	// Fence may be used by many goroutines. It is made by New.
+	// Fence commits dispatch records and caches responses. It is safe for concurrent use.
 	Fence struct {
 		uplink  *uplink.Uplink
 		clock   clockwork.Clock
@@ -43,12 +43,11 @@
 
 		mu          sync.Mutex
 		executions  map[string]*Execution
-		cached      []*Execution // ended ones, the oldest first
+		cached      []*Execution // finished ones, oldest first
 		cachedBytes int
 	}
 
-	// Run is one request that goes through this entry. Callers who send the
-	// same request id join it.
+	// Execution is one request at this entry. Callers who send the same request ID share it.
 	Execution struct {
 		key        string
 		done       chan struct{}
@@ -56,35 +55,35 @@
 		finishedAt time.Time
 	}
 
-	// Pass is the right to send a request once.
+	// Permit allows a request to be sent once.
 	Permit struct {
 		request *wire.CallRequest
 		nonce   string
 	}
 )
 
-// New returns a fence that commits its records through the uplink.
+// New returns a fence that commits its records through an uplink.
 func New(entryID string, u *uplink.Uplink, clock clockwork.Clock) *Fence {
 	return &Fence{uplink: u, clock: clock, entryID: entryID, executions: map[string]*Execution{}}
 }
 
-// Join returns the run of this request at this entry, and whether it is new;
-// then the caller must End it.
+// Join returns the execution of a request at this entry and reports whether it is new.
+// The caller must Finish a new one.
 func (f *Fence) Join(r *wire.CallRequest) (*Execution, bool) {
 	key := r.ClientAccount + "\x00" + r.RequestId
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.evictExpired()
-	if run := f.executions[key]; run != nil {
+	if execution := f.executions[key]; execution != nil {
 		joinedTotal.Inc()
-		return run, false
+		return execution, false
 	}
-	run := &Execution{key: key, done: make(chan struct{})}
-	f.executions[key] = run
-	return run, true
+	execution := &Execution{key: key, done: make(chan struct{})}
+	f.executions[key] = execution
+	return execution, true
 }
 
-// Wait returns the run's response, or nil if the context ends first.
+// Wait returns the response, or nil if the context ends first.
 func (e *Execution) Wait(ctx context.Context) *wire.CallResponse {
 	select {
 	case <-e.done:
@@ -94,18 +93,18 @@
 	}
 }
 
-// End gives the run its response, and holds it for those who ask again if hold
-// is set. One that wasn't run is never held, since the request may be sent anew.
-func (f *Fence) Finish(run *Execution, response *wire.CallResponse, hold bool) {
+// Finish sets the response of an execution and, if cache is set, keeps it for resends.
+// A response with outcome NOT_RUN is never cached, since the request may be sent again.
+func (f *Fence) Finish(execution *Execution, response *wire.CallResponse, cache bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	run.response, run.finishedAt = response, f.clock.Now()
-	close(run.done)
-	if !hold || response.Outcome == wire.Outcome_OUTCOME_NOT_RUN {
-		delete(f.executions, run.key)
+	execution.response, execution.finishedAt = response, f.clock.Now()
+	close(execution.done)
+	if !cache || response.Outcome == wire.Outcome_OUTCOME_NOT_RUN {
+		delete(f.executions, execution.key)
 		return
 	}
-	f.cached = append(f.cached, run)
+	f.cached = append(f.cached, execution)
 	f.cachedBytes += len(response.Payload)
 	f.evictExpired()
 }
@@ -120,38 +119,38 @@
 	}
 }
 
-// Open commits that the request is about to be sent. A nil Pass says that it
-// must not be, and the record says why; on an error nothing may be sent
-// either, though a record may have been committed.
+// Open commits a dispatch record for a request that is about to be sent. If the Permit is
+// nil the request must not be sent: either another record exists, which is returned, or
+// an error occurred, after which a record may have been committed nevertheless.
 func (f *Fence) Open(ctx context.Context, r *wire.CallRequest, timeout time.Duration) (*Permit, *wire.DispatchRecord, error) {
 	p := &Permit{request: r, nonce: uuid.NewString()}
-	ask := &wire.OpenDispatchRequest{
+	request := &wire.OpenDispatchRequest{
 		ClientAccount: r.ClientAccount, RequestId: r.RequestId, EntryId: f.entryID,
 		Nonce: p.nonce, Timeout: durationpb.New(timeout),
 	}
-	got, err := uplink.CallLeader(ctx, f.uplink, ask, func(ctx context.Context, conn *grpc.ClientConn, q *wire.OpenDispatchRequest) (*wire.OpenDispatchResponse, error) {
+	response, err := uplink.CallLeader(ctx, f.uplink, request, func(ctx context.Context, conn *grpc.ClientConn, q *wire.OpenDispatchRequest) (*wire.OpenDispatchResponse, error) {
 		return wire.NewControlServiceClient(conn).OpenDispatch(ctx, q)
 	})
 	if err != nil {
-		f.closeAsync(p, true) // the record may stand though its answer was lost
+		f.closeAsync(p, true) // the record may have been committed
 		return nil, nil, err
 	}
-	if !got.Granted {
+	if !response.Granted {
 		deniedTotal.Inc()
-		return nil, got.Recorded, nil
+		return nil, response.Recorded, nil
 	}
 	openedTotal.Inc()
 	return p, nil, nil
 }
 
-// Completed records that the request was run, without waiting: an open record
-// keeps others from sending it just as well.
+// Complete records in the background that the request was run. Until then the open record
+// prevents resends as well.
 func (f *Fence) Complete(p *Permit) {
 	f.closeAsync(p, false)
 }
 
-// Abort clears the record of a request that was proved not run, and waits
-// for it, so that the caller can send it anew once it is told.
+// Abort removes the record of a request that was certainly not run. It waits for the
+// commit, so that a resend after the response finds no record.
 func (f *Fence) Abort(ctx context.Context, p *Permit) error {
 	return f.commitClose(ctx, p, true)
 }
@@ -160,16 +159,16 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 		defer cancel()
-		// On an error the record stays open, which is the safe side.
+		// On an error the record stays open, which is safe.
 		_ = f.commitClose(ctx, p, notRun)
 	}()
 }
 
 func (f *Fence) commitClose(ctx context.Context, p *Permit, notRun bool) error {
-	ask := &wire.CloseDispatchRequest{
+	request := &wire.CloseDispatchRequest{
 		ClientAccount: p.request.ClientAccount, RequestId: p.request.RequestId, Nonce: p.nonce, NotRun: notRun,
 	}
-	_, err := uplink.CallLeader(ctx, f.uplink, ask, func(ctx context.Context, conn *grpc.ClientConn, q *wire.CloseDispatchRequest) (*wire.CloseDispatchResponse, error) {
+	_, err := uplink.CallLeader(ctx, f.uplink, request, func(ctx context.Context, conn *grpc.ClientConn, q *wire.CloseDispatchRequest) (*wire.CloseDispatchResponse, error) {
 		return wire.NewControlServiceClient(conn).CloseDispatch(ctx, q)
 	})
 	return err
--- a/internal/front/relay/relay.go
+++ b/internal/front/relay/relay.go
@@ -57,7 +57,7 @@
 		streams map[string]*workerStream
 	}
 
-	// attendant is one worker's stream at this entry.
+	// workerStream is one worker's stream at this entry.
 	workerStream struct {
 		incarnation string
 		answers     chan *wire.AttendResponse
@@ -155,7 +155,7 @@
 	}
 }
 
-// stream relays until the stream breaks, goes silent, or another leads.
+// runStream relays until the stream breaks, goes silent, or another leads.
 func (r *Relay) runStream(ctx context.Context, leader string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/front/retry/budget.go
+++ b/internal/front/retry/budget.go
@@ -9,7 +9,7 @@
 	"sync"
 )
 
-// reserve is how many retries a client account's service may make before any
+// maxTokens is how many retries a client account's service may make before any
 // first attempt has earned them.
 const maxTokens = 10
 
@@ -23,7 +23,7 @@
 	tokens map[string]float64
 }
 
-// First notes a first attempt of a client account on a service.
+// Deposit notes a first attempt of a client account on a service.
 func (b *Budget) Deposit(account, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -31,7 +31,7 @@
 	b.set(key, min(b.get(key)+b.Ratio, maxTokens))
 }
 
-// Take asks for one retry.
+// TryWithdraw asks for one retry.
 func (b *Budget) TryWithdraw(account, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/front/route/attempt.go
+++ b/internal/front/route/attempt.go
@@ -1,4 +1,4 @@
-// This file defines one attempt: an HTTP/1.1 request and its whole answer.
+// This file defines a single attempt: one HTTP/1.1 request and its response.
 
 package route
 
@@ -17,32 +17,32 @@
 	"sycamoredeck.example/internal/base/spans"
 )
 
-// The headers of the protocol towards backend servers.
+// Headers of the protocol between entries and backend servers.
 const (
 	HeaderRequestID     = "Sycamoredeck-Request-Id"
 	HeaderClientAccount = "Sycamoredeck-Client-Account"
 	HeaderTimeout       = "Sycamoredeck-Timeout-Ms"
-	// HeaderNotRun on an answer says that the request was refused and not run.
+	// HeaderNotRun marks a response to a request that was rejected without being run.
 	HeaderNotRun = "Sycamoredeck-Not-Run"
-	// HeaderLeaving on an answer says that the backend server is leaving.
+	// HeaderLeaving marks a response of a backend server that is shutting down.
 	HeaderLeaving = "Sycamoredeck-Leaving"
 )
 
-// lateResponseTimeout is how long a late answer is waited for before the connection is
-// closed and the slot given back; a backend server that has hung for so long
-// is ejected by then.
+// lateResponseTimeout bounds the wait for a response whose deadline has passed. After it
+// the connection is closed and the slot released.
 const lateResponseTimeout = 30 * time.Second
 
-// What an attempt without a whole answer means.
+// Errors of attempts that returned no complete response.
 var (
-	// ErrNotRun: surely not run; no byte was sent, or it was refused.
+	// ErrNotRun reports that the request was not run: no byte of it was sent, or the
+	// backend server rejected it.
 	ErrNotRun = errors.New("not run by the backend server")
-	// ErrUnknown: bytes were sent and no whole answer came back.
+	// ErrUnknown reports that bytes were sent but no complete response was received.
 	ErrUnknown = errors.New("no whole answer from the backend server")
 )
 
 type (
-	// Request is what is sent to a backend server.
+	// Request is a request to a backend server.
 	Request struct {
 		ID, Account, Service string
 		Payload              []byte
@@ -51,7 +51,7 @@
 		MaxResponseBytes     int
 	}
 
-	// Answer is a backend server's whole answer.
+	// Response is the complete response of a backend server.
 	Response struct {
 		Status  int
 		Payload []byte
@@ -59,14 +59,14 @@
 	}
 )
 
-// Do sends the request and reads the whole answer. The error wraps ErrNotRun
-// or ErrUnknown. The caller holds a slot, and must keep it until late, where
-// that isn't nil, has returned. Late tells whether the answer came at last.
+// Do sends the request and reads the complete response. The error wraps ErrNotRun or
+// ErrUnknown. The caller holds a slot. If late isn't nil, the caller must call it and
+// keep the slot until it returns.
 //
-// Late waits for an answer whose deadline has passed. The backend server may
-// still be working on it: a slot given back at the deadline would let another
-// request in beside it, beyond what the backend server can run.
-func (b *Backend) Do(ctx context.Context, now time.Time, r Request) (answer Response, late func() bool, err error) {
+// Late waits for a response whose deadline has passed and reports whether it arrived.
+// The backend server may still be processing the request, so that releasing the slot at
+// the deadline would admit more requests than the backend server can run.
+func (b *Backend) Do(ctx context.Context, now time.Time, r Request) (response Response, late func() bool, err error) {
 	ctx, span := spans.StartSpan(ctx, "attempt", attribute.String("backend_server", b.ID()))
 	defer span.End()
 	c, err := b.connect(now, r.Deadline, !r.Idempotent)
@@ -80,12 +80,13 @@
 	if _, err := c.reader.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
 		return Response{}, func() bool { return b.awaitLateResponse(c, r) }, fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
-	answer, reusable, err := c.readResponse(r)
+	response, reusable, err := c.readResponse(r)
 	b.recycle(c, reusable, now)
-	return answer, nil, err
+	return response, nil, err
 }
 
-// linger waits for a late answer, which nobody wants any more.
+// awaitLateResponse reads and discards a response whose deadline has passed, and reports
+// whether it was complete.
 func (b *Backend) awaitLateResponse(c *connection, r Request) bool {
 	if c.SetDeadline(time.Now().Add(lateResponseTimeout)) != nil {
 		b.recycle(c, false, time.Now())
@@ -96,8 +97,8 @@
 	return err == nil
 }
 
-// keep takes a connection back. One with an answer still due, or one that made
-// no sense, would hand that answer to the next request, and is closed.
+// recycle returns a connection to the idle pool if it is reusable, and closes it
+// otherwise: an outstanding or malformed response would be read by the next request.
 func (b *Backend) recycle(c *connection, reusable bool, now time.Time) {
 	if reusable {
 		b.pushIdle(c, now)
@@ -121,7 +122,7 @@
 	}
 }
 
-// write sends the request, and tells whether any byte may have left.
+// write sends the request and reports whether any byte was handed to the kernel.
 func (c *connection) write(ctx context.Context, host string, r Request) (bool, error) {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
@@ -141,7 +142,7 @@
 	return c.bytesWritten() > before, err
 }
 
-// counted is the number of bytes that were handed to the kernel.
+// bytesWritten returns the number of bytes handed to the kernel.
 func (c *connection) bytesWritten() int64 {
 	if counter, ok := c.Conn.(*countingConn); ok {
 		return counter.written
@@ -150,41 +151,41 @@
 }
 
 func (c *connection) readResponse(r Request) (Response, bool, error) {
-	response := fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseResponse(response)
-	if err := response.ReadLimitBody(c.reader, r.MaxResponseBytes); err != nil {
+	received := fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseResponse(received)
+	if err := received.ReadLimitBody(c.reader, r.MaxResponseBytes); err != nil {
 		return Response{}, false, fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
-	if got := string(response.Header.Peek(HeaderRequestID)); got != r.ID {
+	if got := string(received.Header.Peek(HeaderRequestID)); got != r.ID {
 		return Response{}, false, fmt.Errorf("%w: the answer is to request %q", ErrUnknown, got)
 	}
-	if response.Header.ContentLength() == identityContentLength {
-		// Its end is the connection's, so a cut answer would look whole.
+	if received.Header.ContentLength() == identityContentLength {
+		// Such a body ends with the connection, so that a truncated one looks complete.
 		return Response{}, false, fmt.Errorf("%w: the answer has no length", ErrUnknown)
 	}
-	reusable := !response.ConnectionClose() && c.reader.Buffered() == 0
-	answer := Response{
-		Status:  response.StatusCode(),
-		Payload: append([]byte(nil), response.Body()...),
-		Leaving: len(response.Header.Peek(HeaderLeaving)) > 0,
+	reusable := !received.ConnectionClose() && c.reader.Buffered() == 0
+	response := Response{
+		Status:  received.StatusCode(),
+		Payload: append([]byte(nil), received.Body()...),
+		Leaving: len(received.Header.Peek(HeaderLeaving)) > 0,
 	}
-	if len(response.Header.Peek(HeaderNotRun)) > 0 {
-		return answer, reusable, fmt.Errorf("%w: refused", ErrNotRun)
+	if len(received.Header.Peek(HeaderNotRun)) > 0 {
+		return response, reusable, fmt.Errorf("%w: refused", ErrNotRun)
 	}
-	return answer, reusable, nil
+	return response, reusable, nil
 }
 
-// identityContentLength is what fasthttp gives for a body without length.
+// identityContentLength is the length that fasthttp reports for a body without a length.
 const identityContentLength = -2
 
-// countingConn counts what was written, since "not run" may be said only of a
-// request of which nothing was.
+// countingConn counts written bytes: a request may be reported as not run only if none
+// of its bytes were sent.
 type countingConn struct {
 	net.Conn
 	written int64
 }
 
-// Write counts what it wrote.
+// Write implements net.Conn and counts the bytes written.
 func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.written += int64(n)
--- a/internal/front/route/backend.go
+++ b/internal/front/route/backend.go
@@ -1,4 +1,4 @@
-// This file defines Backend: one backend server, its load and its connections.
+// This file defines Backend, the load and the connections of one backend server.
 
 package route
 
@@ -16,16 +16,16 @@
 )
 
 const (
-	// ejectionThreshold is how many attempts in a row must fail before a
-	// backend server is passed over.
+	// ejectionThreshold is the number of consecutive failed attempts after which a
+	// backend server is ejected.
 	ejectionThreshold = 3
 	baseEjectionTime  = time.Second
 	maxEjectionTime   = 30 * time.Second
-	// maxIdleTime is how long an idle connection is kept; longer, and something
-	// between the ends may have forgotten it.
+	// maxIdleTime bounds the age of idle connections. A middlebox may have dropped the
+	// state of an older one.
 	maxIdleTime = 5 * time.Second
-	// maxIdleTimeNonIdempotent is how lately a connection must have answered to carry a
-	// non-idempotent request: on a silent one it would end as unknown.
+	// maxIdleTimeNonIdempotent is the same bound for non-idempotent requests, whose
+	// outcome would be unknown if the connection turned out to be dead.
 	maxIdleTimeNonIdempotent = time.Second
 	dialTimeout              = time.Second
 )
@@ -36,21 +36,23 @@
 )
 
 type (
-	// Ended is how an attempt went. The zero value changes nothing.
+	// AttemptOutcome is the outcome of an attempt. The zero value doesn't change the
+	// backend server's statistics.
 	AttemptOutcome struct {
-		// Latency is set when the backend server answered.
+		// Latency is set if the backend server responded in time.
 		Latency time.Duration
-		// Late is set when the answer came after the deadline.
+		// LateLatency is set if the response arrived after the deadline.
 		LateLatency time.Duration
-		// Failed says that it was not reached, broke off or ran out of time.
+		// Failed is set if the backend server couldn't be reached, the connection broke
+		// or the attempt timed out.
 		Failed bool
 	}
 
-	// Backend is one incarnation of a backend server. Its load is guarded by
-	// the Service it belongs to, its connections by itself.
+	// Backend is one incarnation of a backend server. The mutex of its Service guards all
+	// fields but the idle connections.
 	Backend struct {
 		announcement   *wire.Announcement
-		slotLimit      int
+		slotLimit      int // this entry's share of the slots
 		maxConnections int
 		inFlight       int
 		latency        time.Duration
@@ -58,11 +60,11 @@
 		failures       int
 		ejections      int
 		ejectedUntil   time.Time
-		// gone says that it is no longer among its service's; its slots don't
-		// come back.
+		// removed is set once the backend server is no longer one of its service. Its
+		// released slots are not counted as free.
 		removed bool
 
-		mu     sync.Mutex
+		mu     sync.Mutex // guards idle and closed
 		idle   []*connection
 		closed bool
 	}
@@ -85,26 +87,28 @@
 
 func (b *Backend) key() string { return backendKey(b.announcement) }
 
-// ID is the backend server's id.
+// ID returns the backend server's ID.
 func (b *Backend) ID() string { return b.announcement.BackendServerId }
 
-// Incarnation is the backend server's incarnation.
+// Incarnation returns the backend server's incarnation.
 func (b *Backend) Incarnation() uint64 { return b.announcement.Incarnation }
 
 func (b *Backend) available(now time.Time, tried []string) bool {
 	return b.inFlight < b.slotLimit && !now.Before(b.ejectedUntil) && !slices.Contains(tried, b.announcement.BackendServerId)
 }
 
-func (b *Backend) recordOutcome(now time.Time, e AttemptOutcome) {
-	if e.Latency > 0 {
-		b.latency = ewma(b.latency, e.Latency, latencySmoothing)
+// recordOutcome updates the average latency, and ejects the backend server for longer
+// each time that attempts fail repeatedly.
+func (b *Backend) recordOutcome(now time.Time, o AttemptOutcome) {
+	if o.Latency > 0 {
+		b.latency = ewma(b.latency, o.Latency, latencySmoothing)
 		b.failures, b.ejections = 0, 0
 		return
 	}
-	if e.LateLatency > 0 {
-		b.latency = ewma(b.latency, e.LateLatency, latencySmoothing)
+	if o.LateLatency > 0 {
+		b.latency = ewma(b.latency, o.LateLatency, latencySmoothing)
 	}
-	if !e.Failed {
+	if !o.Failed {
 		return
 	}
 	b.failures++
@@ -117,11 +121,11 @@
 	ejectedTotal.Inc()
 }
 
-// connect returns an idle connection, or a new one. One for a non-idempotent
-// request must have answered lately or be new.
-func (b *Backend) connect(now, deadline time.Time, proved bool) (*connection, error) {
+// connect returns an idle connection or dials a new one. For a non-idempotent request
+// the idle connection must have been used recently.
+func (b *Backend) connect(now, deadline time.Time, nonIdempotent bool) (*connection, error) {
 	limit := maxIdleTime
-	if proved {
+	if nonIdempotent {
 		limit = maxIdleTimeNonIdempotent
 	}
 	if c := b.popIdle(now, limit); c != nil {
@@ -136,9 +140,9 @@
 	return &connection{Conn: conn, reader: bufio.NewReader(conn), writer: bufio.NewWriter(conn)}, nil
 }
 
-// popIdle takes the connection used last and closes those idle for too long.
-// It closes all that can't be used even now, so that idle and busy connections
-// together never exceed the slots.
+// popIdle removes and returns the most recently used connection. If that one has been
+// idle for longer than the limit, popIdle closes it and returns nil, so that the
+// connection dialed in its place doesn't exceed the number of slots.
 func (b *Backend) popIdle(now time.Time, limit time.Duration) *connection {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -151,7 +155,6 @@
 	if now.Sub(c.lastUsed) <= limit {
 		return c
 	}
-	// The one used last is too old, so all are; one is closed for the new one.
 	c.Close()
 	return nil
 }
@@ -167,7 +170,7 @@
 	b.idle = append(b.idle, c)
 }
 
-// close closes the idle connections, and the busy ones as they come back.
+// close closes the idle connections. Connections in use are closed when they are returned.
 func (b *Backend) close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/front/route/route_test.go
+++ b/internal/front/route/route_test.go
@@ -1,4 +1,4 @@
-// This file defines the tests of attempts and of how slots are given.
+// This file defines tests of attempts and of the assignment of slots.
 
 package route
 
@@ -18,26 +18,26 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// scripted serves one connection after the other with raw answers; %s stands
-// for the request's id.
-func newScriptedBackend(t *testing.T, answers ...string) *Backend {
+// newScriptedBackend returns a backend whose server replies to every request on the n-th
+// connection with the n-th raw response; %s stands for the request's ID.
+func newScriptedBackend(t *testing.T, responses ...string) *Backend {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { listener.Close() })
 	go func() {
-		for _, a := range answers {
+		for _, response := range responses {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go serveScripted(conn, a)
+			go serveScripted(conn, response)
 		}
 	}()
 	return newBackend(&wire.Announcement{BackendServerId: "s", Address: listener.Addr().String(), Slots: 8, Connections: 8})
 }
 
-func serveScripted(conn net.Conn, answer string) {
+func serveScripted(conn net.Conn, response string) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -54,15 +54,15 @@
 			_, _ = fmt.Sscanf(line, HeaderRequestID+": %s", &id)
 			_, _ = fmt.Sscanf(line, "Content-Length: %d", &length)
 		}
-		if _, err := reader.Discard(length); err != nil || answer == "" {
+		if _, err := reader.Discard(length); err != nil || response == "" {
 			return
 		}
-		if answer == "hang" {
+		if response == "hang" {
 			time.Sleep(5 * time.Second)
 			return
 		}
-		fmt.Fprint(conn, strings.ReplaceAll(strings.ReplaceAll(answer, "\n", "\r\n"), "%s", id))
-		if strings.Contains(answer, "Content-Length: 999") {
+		fmt.Fprint(conn, strings.ReplaceAll(strings.ReplaceAll(response, "\n", "\r\n"), "%s", id))
+		if strings.Contains(response, "Content-Length: 999") {
 			return
 		}
 	}
@@ -72,68 +72,66 @@
 	return Request{ID: id, Account: "a", Service: "svc", Deadline: time.Now().Add(300 * time.Millisecond), Idempotent: true, MaxResponseBytes: 1000}
 }
 
-// Symptom: a caller gets half an answer, or the answer to another's request.
-// Each row is a way for an answer to go wrong, and what may be said of the
-// request after it. In all of them the connection must not be used again.
+// Guards against truncated responses and responses to other requests being returned to a
+// caller. After a malformed response the connection must not be reused.
 func TestAttemptOutcomes(t *testing.T) {
 	const id = HeaderRequestID + ": %s\n"
 	cases := []struct {
-		name, answer string
-		want         error
-		reused       bool
+		name, response string
+		want           error
+		reused         bool
 	}{
-		{"whole", "HTTP/1.1 200 OK\n" + id + "Content-Length: 2\n\nok", nil, true},
-		{"whole, then closed", "HTTP/1.1 200 OK\nConnection: close\n" + id + "Content-Length: 2\n\nok", nil, false},
-		{"refused", "HTTP/1.1 503 No\n" + HeaderNotRun + ": 1\n" + id + "Content-Length: 0\n\n", ErrNotRun, true},
-		{"refused another's", "HTTP/1.1 503 No\n" + HeaderNotRun + ": 1\n" + HeaderRequestID + ": x\nContent-Length: 0\n\n", ErrUnknown, false},
-		{"short", "HTTP/1.1 200 OK\n" + id + "Content-Length: 999\n\nok", ErrUnknown, false},
-		{"another's", "HTTP/1.1 200 OK\n" + HeaderRequestID + ": x%s\nContent-Length: 2\n\nok", ErrUnknown, false},
-		{"no id", "HTTP/1.1 200 OK\nContent-Length: 2\n\nok", ErrUnknown, false},
+		{"complete", "HTTP/1.1 200 OK\n" + id + "Content-Length: 2\n\nok", nil, true},
+		{"complete, then closed", "HTTP/1.1 200 OK\nConnection: close\n" + id + "Content-Length: 2\n\nok", nil, false},
+		{"rejected", "HTTP/1.1 503 No\n" + HeaderNotRun + ": 1\n" + id + "Content-Length: 0\n\n", ErrNotRun, true},
+		{"rejected, other request ID", "HTTP/1.1 503 No\n" + HeaderNotRun + ": 1\n" + HeaderRequestID + ": x\nContent-Length: 0\n\n", ErrUnknown, false},
+		{"truncated", "HTTP/1.1 200 OK\n" + id + "Content-Length: 999\n\nok", ErrUnknown, false},
+		{"other request ID", "HTTP/1.1 200 OK\n" + HeaderRequestID + ": x%s\nContent-Length: 2\n\nok", ErrUnknown, false},
+		{"no request ID", "HTTP/1.1 200 OK\nContent-Length: 2\n\nok", ErrUnknown, false},
 		{"too large", "HTTP/1.1 200 OK\n" + id + "Content-Length: 1001\n\n" + strings.Repeat("x", 1001), ErrUnknown, false},
-		{"one byte more than announced", "HTTP/1.1 200 OK\n" + id + "Content-Length: 2\n\nok!", nil, false},
+		{"one byte more than Content-Length", "HTTP/1.1 200 OK\n" + id + "Content-Length: 2\n\nok!", nil, false},
 		{"not HTTP", "hello\n\n", ErrUnknown, false},
-		{"closed without a word", "", ErrUnknown, false},
+		{"closed without response", "", ErrUnknown, false},
 		{"hangs", "hang", ErrUnknown, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newScriptedBackend(t, c.answer)
-			answer, late, err := b.Do(context.Background(), time.Now(), request("r1"))
+			b := newScriptedBackend(t, c.response)
+			response, late, err := b.Do(context.Background(), time.Now(), request("r1"))
 			if c.want == nil {
 				assert.NilError(t, err)
-				assert.Equal(t, string(answer.Payload), "ok")
+				assert.Equal(t, string(response.Payload), "ok")
 			} else {
 				assert.ErrorIs(t, err, c.want)
 			}
 			assert.Equal(t, len(b.idle) == 1, c.reused)
-			assert.Equal(t, late != nil, c.answer == "hang", "the slot of a request that may still run is given back")
+			assert.Equal(t, late != nil, c.response == "hang", "slot released while the request may still run")
 		})
 	}
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("connection refused", func(t *testing.T) {
 		b := newBackend(&wire.Announcement{BackendServerId: "s", Address: "127.0.0.1:1"})
 		_, _, err := b.Do(context.Background(), time.Now(), request("r1"))
 		assert.ErrorIs(t, err, ErrNotRun)
 	})
 }
 
-// Symptom: a request that must not be repeated ends as unknown though nothing
-// was wrong with its backend server. Cause: it was sent on a connection that
-// something in between had forgotten. It may only use one proved lately.
-func TestNonIdempotentNeedsAProvedConnection(t *testing.T) {
+// Guards against unknown outcomes of non-idempotent requests that are sent on a
+// connection whose state a middlebox has dropped.
+func TestNonIdempotentNeedsRecentConnection(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\n" + HeaderRequestID + ": %s\nContent-Length: 2\n\nok"
 	b := newScriptedBackend(t, ok, ok)
 	_, _, err := b.Do(context.Background(), time.Now(), request("r1"))
 	assert.NilError(t, err)
 	first := b.idle[0]
 	first.lastUsed = time.Now().Add(-2 * maxIdleTimeNonIdempotent)
-	again := request("r2")
-	_, _, err = b.Do(context.Background(), time.Now(), again)
+	second := request("r2")
+	_, _, err = b.Do(context.Background(), time.Now(), second)
 	assert.NilError(t, err)
-	assert.Assert(t, b.idle[0] == first, "an idempotent request may use it")
+	assert.Assert(t, b.idle[0] == first, "an idempotent request must reuse it")
 	first.lastUsed = time.Now().Add(-2 * maxIdleTimeNonIdempotent)
-	again.Idempotent = false
-	again.Deadline = time.Now().Add(time.Second)
-	_, _, err = b.Do(context.Background(), time.Now(), again)
+	second.Idempotent = false
+	second.Deadline = time.Now().Add(time.Second)
+	_, _, err = b.Do(context.Background(), time.Now(), second)
 	assert.NilError(t, err)
 	assert.Assert(t, len(b.idle) == 1 && b.idle[0] != first)
 }
@@ -161,7 +159,7 @@
 	var refusal *Refusal
 	assert.Assert(t, errors.As(err, &refusal), "%v", err)
 	assert.ErrorIs(t, err, want)
-	assert.Assert(t, refusal.RetryAfter > 0, "no word of when to come back")
+	assert.Assert(t, refusal.RetryAfter > 0, "RetryAfter is missing")
 }
 
 func TestRefusals(t *testing.T) {
@@ -191,10 +189,9 @@
 	})
 }
 
-// Symptom: a call that was given up on hears of it only near its deadline.
-// Sequence: it waits for a slot; then all backend servers go. It must be
-// answered at once. The context's end here is far away.
-func TestHopelessCallIsAnsweredAtOnce(t *testing.T) {
+// Guards against rejecting a waiting call only at its deadline after all backend servers
+// were removed.
+func TestShedRejectsWaitingCallBeforeDeadline(t *testing.T) {
 	s, clock := newTestService(1, 10)
 	for range 2 {
 		_, err := s.Acquire(context.Background(), slotRequest(clock, time.Minute))
@@ -219,29 +216,28 @@
 	return s.queue.Len()
 }
 
-// Symptom: slots leak or are given twice, over many calls that come, fail, and
-// end on backend servers that are gone.
-func TestSlotsAreNeitherLostNorDoubled(t *testing.T) {
+// Guards against leaking slots, or releasing them twice, when calls fail or end on
+// removed backend servers.
+func TestSlotAccounting(t *testing.T) {
 	s, clock := newTestService(3, 10)
-	var held []*Backend
+	var acquired []*Backend
 	for range 6 {
 		b, err := s.Acquire(context.Background(), slotRequest(clock, time.Second))
 		assert.NilError(t, err)
-		held = append(held, b)
+		acquired = append(acquired, b)
 	}
 	s.mu.Lock()
 	assert.Equal(t, s.freeSlots, 0)
 	s.mu.Unlock()
 	s.Update([]*wire.Announcement{{BackendServerId: "0", Slots: 2, Connections: 64}})
-	for i, b := range held {
+	for i, b := range acquired {
 		s.Release(b, AttemptOutcome{Failed: i%2 == 0})
 	}
 	assert.Equal(t, s.freeSlots, 2)
 	assert.Equal(t, s.backends[0].inFlight, 0)
 }
 
-// A backend server that fails again and again is passed over, for longer each
-// time, but never so that none is left.
+// A backend server that fails repeatedly is ejected unless it is the only one.
 func TestEjection(t *testing.T) {
 	s, clock := newTestService(2, 10)
 	bad := s.backends[0]
@@ -258,17 +254,17 @@
 	s.Update([]*wire.Announcement{bad.announcement})
 	b, err := s.Acquire(context.Background(), slotRequest(clock, time.Second))
 	assert.NilError(t, err)
-	assert.Assert(t, b == bad, "the last one left is used all the same")
+	assert.Assert(t, b == bad, "the only backend server must be used though it is ejected")
 }
 
-// Symptom: a backend server that was slow for a while never gets work again.
-// Cause: its old latency keeps it from being chosen, so none is measured.
-func TestSlowServerIsTriedAgain(t *testing.T) {
+// Guards against never picking a backend server again after it was slow for a while,
+// since no new latency is measured on it.
+func TestSlowServerIsProbed(t *testing.T) {
 	s, clock := newTestService(2, 10)
 	slow := s.backends[0]
 	s.takeSlot(clock.Now(), slow)
 	s.Release(slow, AttemptOutcome{Latency: time.Minute})
-	chosen := func() int {
+	timesPicked := func() int {
 		n := 0
 		for range 50 {
 			b, err := s.Acquire(context.Background(), slotRequest(clock, time.Hour))
@@ -280,7 +276,7 @@
 		}
 		return n
 	}
-	assert.Assert(t, chosen() == 0, "it is chosen though it is slow")
+	assert.Assert(t, timesPicked() == 0, "slow backend server picked before the probe interval")
 	clock.Advance(2 * probeInterval)
-	assert.Assert(t, chosen() >= 1, "it is never tried again")
+	assert.Assert(t, timesPicked() >= 1, "slow backend server not picked after the probe interval")
 }
--- a/internal/front/route/service.go
+++ b/internal/front/route/service.go
@@ -1,8 +1,8 @@
-// This file defines Service, which gives calls a slot at a backend server.
+// This file defines Service, which assigns calls to slots of backend servers.
 
-// Package route chooses backend servers for calls and holds the connections
-// to them. Slots and connections are hard limits: a call has a slot of its own
-// from before its first byte until its answer is whole.
+// Package route selects backend servers for calls and manages the connections to them.
+// Slots and connections are hard limits: a call occupies a slot from before its first
+// byte is sent until its response is complete.
 package route
 
 import (
@@ -19,32 +19,30 @@
 )
 
 const (
-	// latencySmoothing is the part of a new latency in the moving average.
+	// latencySmoothing is the weight of a new sample in a backend server's average latency.
 	latencySmoothing = 0.1
-	// serviceSmoothing is the same for the service, over all backend servers.
+	// serviceSmoothing is the weight of a new sample in the latency statistics of a service.
 	serviceSmoothing = 0.02
-	// initialLatency is assumed of a backend server that has answered nothing.
+	// initialLatency is assumed for a backend server without samples.
 	initialLatency = 5 * time.Millisecond
-	// choices is how many backend servers are compared. Of two, one in a
-	// hundred calls meets two slow ones where a tenth is slow, which is the
-	// 99th percentile. Slots aren't shared between entries, so that comparing
-	// more makes no herd.
+	// sampleSize is the number of backend servers that pick compares. If a tenth of them
+	// is slow, comparing only two would send 1% of the calls to a slow one. Entries don't
+	// share slots, so that a larger sample causes no herding.
 	sampleSize = 8
-	// probeInterval is how long a slow backend server is left alone before it is
-	// tried again.
+	// probeInterval is the time after which a slow backend server is tried again.
 	probeInterval = 2 * time.Second
-	// crossDomainFactor makes a backend server in another failure domain look this
-	// much slower, for the way there and back.
+	// crossDomainFactor scales the cost of backend servers in other failure domains, to
+	// account for the longer round trip.
 	crossDomainFactor = 1.3
-	// minRetryAfter and maxRetryAfter bound when callers are told to return.
+	// minRetryAfter and maxRetryAfter bound the retry delay, before jitter.
 	minRetryAfter = 20 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
-	// noServerRetryAfter is told while no backend server is known; one that
-	// starts announces itself within a second.
+	// noServerRetryAfter is the retry delay while no backend server is known. A starting
+	// one announces itself within a second.
 	noServerRetryAfter = time.Second
 )
 
-// Why a call gets no slot. It has not been run.
+// Reasons of a Refusal. The call has not been run.
 var (
 	ErrNoServer         = errors.New("no usable backend server")
 	ErrQueueFull        = errors.New("the queue is full")
@@ -53,34 +51,34 @@
 )
 
 type (
-	// Refusal says why and when to come back.
+	// Refusal is the error for a call that gets no slot.
 	Refusal struct {
 		Err        error
 		RetryAfter time.Duration
 	}
 
-	// Ask is a call that needs a slot.
+	// SlotRequest describes a call that needs a slot.
 	SlotRequest struct {
 		Account  string
 		Weight   float64
 		Deadline time.Time
-		// Tried are the backend servers that were tried already; others go
-		// first.
+		// Tried lists the IDs of backend servers that were already tried; others are
+		// preferred.
 		Tried []string
 	}
 
-	// Options are the same for all services of an entry.
+	// Options configure the services of an entry.
 	Options struct {
 		Clock         clockwork.Clock
 		FailureDomain string
 		QueueLength   int
-		// Part gives this entry's part of a backend server's slots.
+		// SlotShare returns the number of a backend server's slots that this entry may use.
 		SlotShare func(server string, slots uint32) int
-		// Entries is the number of entries seen.
+		// EntryCount returns the number of known entries.
 		EntryCount func() int
 	}
 
-	// Service is the backend servers of one service as seen by one entry.
+	// Service routes the calls of one service at one entry.
 	Service struct {
 		options Options
 
@@ -93,10 +91,10 @@
 	}
 )
 
-// Error gives the reason.
+// Error returns the reason.
 func (r *Refusal) Error() string { return r.Err.Error() }
 
-// Unwrap gives one of this package's errors.
+// Unwrap returns the reason as one of this package's errors.
 func (r *Refusal) Unwrap() error { return r.Err }
 
 var _ error = (*Refusal)(nil)
@@ -106,8 +104,8 @@
 	return &Service{options: options, latency: latencyStats{mean: initialLatency}}
 }
 
-// Update replaces the backend servers. Those that go on keep their
-// connections; those that are gone get no new calls, and calls in flight end.
+// Update replaces the backend servers. Unchanged ones keep their connections; removed
+// ones get no new calls, and their calls in flight run to completion.
 func (s *Service) Update(usable []*wire.Announcement) {
 	s.mu.Lock()
 	known := map[string]*Backend{}
@@ -135,7 +133,7 @@
 	granted.deliver()
 }
 
-// Resize works out this entry's slots anew, after the entries have changed.
+// Resize recomputes this entry's share of the slots after the entries have changed.
 func (s *Service) Resize() {
 	s.mu.Lock()
 	s.resize()
@@ -155,8 +153,8 @@
 	}
 }
 
-// Check returns the *Refusal that Acquire would give at once, or nil.
-func (s *Service) Check(ask SlotRequest) error {
+// Check returns the *Refusal that Acquire would return without waiting, or nil.
+func (s *Service) Check(request SlotRequest) error {
 	now := s.options.Clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,12 +164,13 @@
 	case s.freeSlots > 0:
 		return nil
 	default:
-		return s.checkWait(now, ask)
+		return s.checkWait(now, request)
 	}
 }
 
-// Acquire returns a backend server with a slot taken, or a *Refusal.
-func (s *Service) Acquire(ctx context.Context, ask SlotRequest) (*Backend, error) {
+// Acquire reserves a slot, waiting for one if necessary, and returns its backend server.
+// The error is a *Refusal.
+func (s *Service) Acquire(ctx context.Context, request SlotRequest) (*Backend, error) {
 	now := s.options.Clock.Now()
 	s.mu.Lock()
 	if len(s.backends) == 0 || s.totalSlots == 0 {
@@ -179,20 +178,20 @@
 		return nil, &Refusal{ErrNoServer, noServerRetryAfter}
 	}
 	if s.queue.Len() == 0 {
-		if b := s.pick(now, ask.Tried); b != nil {
+		if b := s.pick(now, request.Tried); b != nil {
 			s.takeSlot(now, b)
 			s.mu.Unlock()
 			return b, nil
 		}
 	}
-	if err := s.checkWait(now, ask); err != nil {
+	if err := s.checkWait(now, request); err != nil {
 		s.mu.Unlock()
 		return nil, err
 	}
 	granted := make(chan *Backend, 1)
 	w := &admit.Waiter[*Backend]{
-		Account: ask.Account, Weight: ask.Weight, Deadline: ask.Deadline,
-		LatestStart: s.latestStart(now, ask.Deadline),
+		Account: request.Account, Weight: request.Weight, Deadline: request.Deadline,
+		LatestStart: s.latestStart(now, request.Deadline),
 		Grant:       func(b *Backend) { granted <- b },
 	}
 	s.queue.Push(w)
@@ -200,8 +199,7 @@
 	return s.wait(ctx, w, granted)
 }
 
-// wait waits for a grant. A nil grant says that the call was given up on,
-// which is told at once rather than at the deadline.
+// wait waits for a slot. A nil grant rejects the call before its deadline.
 func (s *Service) wait(ctx context.Context, w *admit.Waiter[*Backend], granted chan *Backend) (*Backend, error) {
 	select {
 	case b := <-granted:
@@ -225,36 +223,36 @@
 	return nil, &Refusal{ErrDeadlineExceeded, s.retryAfter(w.Account, w.Weight)}
 }
 
-// hopeless refuses a call that would wait in vain.
-func (s *Service) checkWait(now time.Time, ask SlotRequest) error {
-	wait := s.expectedWait(ask.Account, ask.Weight, s.queue.AccountLen(ask.Account)+1)
+// checkWait returns a *Refusal if the queue is full or no slot is expected in time.
+func (s *Service) checkWait(now time.Time, request SlotRequest) error {
+	wait := s.expectedWait(request.Account, request.Weight, s.queue.AccountLen(request.Account)+1)
 	if s.queue.Len() >= s.options.QueueLength {
 		return &Refusal{ErrQueueFull, clampAndJitter(wait)}
 	}
-	if now.Add(wait).After(s.latestStart(now, ask.Deadline)) {
+	if now.Add(wait).After(s.latestStart(now, request.Deadline)) {
 		return &Refusal{ErrDeadlineExceeded, clampAndJitter(wait)}
 	}
 	return nil
 }
 
-// Likely is the time within which nearly all of the service's requests end.
+// TailLatency returns the time within which nearly all requests of the service complete.
 func (s *Service) TailLatency() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.latency.tail()
 }
 
-// latest is the last moment at which a call may be given a slot. One that
-// starts later would likely run past its deadline: a slot spent on an answer
-// that nobody takes. Under overload such calls, served first since theirs is
-// the earliest deadline, would take up all slots. Half of the time is left to
-// a call in any case, where the service is slow for its callers' timeouts.
+// latestStart returns the latest time at which a call may be given a slot. A call that
+// starts later would likely miss its deadline and waste the slot. Under overload such
+// calls, which come first in deadline order, would occupy all slots. If the service is
+// slow compared with the timeouts of its callers, a call may wait for up to half of its
+// remaining time.
 func (s *Service) latestStart(now, deadline time.Time) time.Time {
 	return deadline.Add(-min(s.latency.tail(), deadline.Sub(now)/2))
 }
 
-// expectedWait is how long the call at a position of its account's line waits,
-// by the present latency and the account's share of the slots.
+// expectedWait estimates the wait of the call at a position in its account's queue from
+// the mean latency and the account's share of the slots.
 func (s *Service) expectedWait(account string, weight float64, position int) time.Duration {
 	rate := float64(max(s.totalSlots, 1)) * s.queue.Share(account, max(weight, 1e-9))
 	return time.Duration(float64(s.latency.mean) * float64(position) / rate)
@@ -266,29 +264,30 @@
 	return clampAndJitter(s.expectedWait(account, weight, s.queue.AccountLen(account)+1))
 }
 
+// clampAndJitter bounds a retry delay and adds up to a half at random, so that rejected
+// callers don't retry at the same time.
 func clampAndJitter(d time.Duration) time.Duration {
-	// Spread by up to half, lest all that were refused return together.
 	d = max(minRetryAfter, min(d, maxRetryAfter))
 	return d + time.Duration(rand.Int64N(int64(d/2)+1))
 }
 
-// Shed answers waiting calls that have become hopeless, because slots were
-// lost or latency has risen since they came.
+// Shed rejects waiting calls that can no longer start in time, because slots were lost
+// or latency has risen since they were queued.
 func (s *Service) Shed() {
 	now := s.options.Clock.Now()
 	s.mu.Lock()
-	taken := s.queue.RemoveIf(func(w *admit.Waiter[*Backend], ahead int) bool {
+	removed := s.queue.RemoveIf(func(w *admit.Waiter[*Backend], ahead int) bool {
 		wait := s.expectedWait(w.Account, w.Weight, ahead)
 		return s.totalSlots == 0 || now.Add(wait).After(w.LatestStart)
 	})
 	s.mu.Unlock()
-	for _, w := range taken {
+	for _, w := range removed {
 		w.Grant(nil)
 	}
 }
 
-// pick chooses the best of a few random backend servers with a free slot, by
-// expected latency.
+// pick returns the backend server with the lowest cost out of a random sample of those
+// with a free slot, or nil if there is no free slot.
 func (s *Service) pick(now time.Time, tried []string) *Backend {
 	if s.freeSlots <= 0 {
 		return nil
@@ -310,8 +309,8 @@
 	return s.scan(now, tried)
 }
 
-// scan looks at all backend servers from a random one on: those not tried
-// first, then any with a slot.
+// scan returns the first backend server with a free slot, starting from a random one.
+// Those not yet tried are preferred.
 func (s *Service) scan(now time.Time, tried []string) *Backend {
 	n := len(s.backends)
 	begin := rand.IntN(n)
@@ -331,8 +330,8 @@
 	return s.leastEjected(begin)
 }
 
-// leastEjected is used when all with free slots are ejected. Ejection may
-// never leave callers with nothing.
+// leastEjected returns the backend server whose ejection ends first. It is used if all
+// with a free slot are ejected, since ejection must never leave callers without any.
 func (s *Service) leastEjected(begin int) *Backend {
 	n := len(s.backends)
 	var best *Backend
@@ -345,9 +344,9 @@
 	return best
 }
 
-// cost is the latency to expect of a backend server. One that looked slow and
-// hasn't been tried for a while goes before all others, once: it would else never
-// be chosen again, and never seen to have recovered.
+// cost estimates the latency of the next call on a backend server. A slow one that hasn't
+// been picked for the probe interval costs nothing, so that it is picked once and its
+// recovery is noticed.
 func (s *Service) cost(now time.Time, b *Backend) float64 {
 	if b.latency > s.latency.mean && now.Sub(b.lastPicked) > probeInterval {
 		return 0
@@ -365,23 +364,23 @@
 	s.freeSlots--
 }
 
-// Note says how an attempt went whose slot isn't given back yet.
-func (s *Service) RecordOutcome(b *Backend, e AttemptOutcome) {
+// RecordOutcome records the outcome of an attempt that keeps its slot.
+func (s *Service) RecordOutcome(b *Backend, o AttemptOutcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b.recordOutcome(s.options.Clock.Now(), e)
+	b.recordOutcome(s.options.Clock.Now(), o)
 }
 
-// Release gives the slot back and notes how the attempt went.
-func (s *Service) Release(b *Backend, e AttemptOutcome) {
+// Release releases the slot of an attempt and records its outcome.
+func (s *Service) Release(b *Backend, o AttemptOutcome) {
 	now := s.options.Clock.Now()
 	s.mu.Lock()
 	b.inFlight--
 	if b.inFlight < b.slotLimit && !b.removed {
 		s.freeSlots++
 	}
-	b.recordOutcome(now, e)
-	if d := max(e.Latency, e.LateLatency); d > 0 {
+	b.recordOutcome(now, o)
+	if d := max(o.Latency, o.LateLatency); d > 0 {
 		s.latency = s.latency.withSample(d)
 	}
 	granted := s.grantQueued()
@@ -390,7 +389,7 @@
 }
 
 type (
-	// grant is a slot for a waiting call, or no slot when it is too late.
+	// grant is a slot for a waiting call. A nil backend rejects the call.
 	grant struct {
 		waiter  *admit.Waiter[*Backend]
 		backend *Backend
@@ -400,13 +399,13 @@
 )
 
 func (g grants) deliver() {
-	for _, one := range g {
-		one.waiter.Grant(one.backend)
+	for _, granted := range g {
+		granted.waiter.Grant(granted.backend)
 	}
 }
 
-// grantQueued gives free slots to those whose turn it is, and tells those
-// for whom it is too late.
+// grantQueued assigns free slots to waiting calls in queue order, and rejects those that
+// would start too late. The caller delivers the grants after unlocking.
 func (s *Service) grantQueued() grants {
 	var granted grants
 	now := s.options.Clock.Now()
@@ -430,21 +429,22 @@
 	return time.Duration(float64(old)*(1-weight) + float64(sample)*weight)
 }
 
-// latencyStats is how long a service's requests hold a slot, late ones
-// included: a mean of those in time alone would shrink as more are late.
+// latencyStats holds the moving mean and deviation of the time for which requests occupy
+// a slot. Late responses are included: without them the mean would fall as more requests
+// miss their deadline.
 type latencyStats struct {
 	mean, deviation time.Duration
 }
 
-// with returns the time after one more sample.
-func (t latencyStats) withSample(sample time.Duration) latencyStats {
+// withSample returns the statistics after one more sample.
+func (l latencyStats) withSample(sample time.Duration) latencyStats {
 	return latencyStats{
-		mean:      ewma(t.mean, sample, serviceSmoothing),
-		deviation: ewma(t.deviation, (sample - t.mean).Abs(), serviceSmoothing),
+		mean:      ewma(l.mean, sample, serviceSmoothing),
+		deviation: ewma(l.deviation, (sample - l.mean).Abs(), serviceSmoothing),
 	}
 }
 
-// likely is the time within which nearly all requests end.
-func (t latencyStats) tail() time.Duration {
-	return t.mean + 3*t.deviation
+// tail returns the time within which nearly all requests complete.
+func (l latencyStats) tail() time.Duration {
+	return l.mean + 3*l.deviation
 }
--- a/internal/front/uplink/ask.go
+++ b/internal/front/uplink/ask.go
@@ -26,10 +26,10 @@
 	electionWait = 1200 * time.Millisecond
 )
 
-// Call is a method of a control replica.
+// Method is a method of a control replica.
 type Method[Q, R any] func(ctx context.Context, conn *grpc.ClientConn, request Q) (R, error)
 
-// Ask calls the leader, and the next one while it changes, until the context
+// CallLeader calls the leader, and the next one while it changes, until the context
 // ends or no leader can be expected in time. Only idempotent calls may be made
 // with it, since one may be carried out by a leader whose answer is lost, and sent
 // to the next.
--- a/internal/front/uplink/ask_test.go
+++ b/internal/front/uplink/ask_test.go
@@ -19,13 +19,13 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// outage is an uplink that knows five voters, of which the first answering ones
+// fixture is an uplink that knows five voters, of which the first answering ones
 // were just heard, and the call that is made with it.
 type fixture struct {
 	uplink        *Uplink
 	clock         *clockwork.FakeClock
 	calledLeaders []string
-	// answers are what the call comes to, one for each try.
+	// responses are what the call comes to, one for each try.
 	responses []func(context.Context) error
 }
 
@@ -49,7 +49,7 @@
 	return o
 }
 
-// hear has a replica tell who leads.
+// receiveHello has a replica tell who leads.
 func (f *fixture) receiveHello(from, leader string, term uint64) {
 	r := &wire.HelloResponse{LeaderAddress: leader, Term: term}
 	for _, address := range voters {
@@ -70,7 +70,7 @@
 
 func succeed(context.Context) error { return nil }
 
-// silent is a leader without power: it never answers.
+// hang is a leader without power: it never answers.
 func hang(ctx context.Context) error {
 	<-ctx.Done()
 	return status.FromContextError(ctx.Err()).Err()
--- a/internal/front/uplink/uplink.go
+++ b/internal/front/uplink/uplink.go
@@ -54,11 +54,11 @@
 		Pool      *link.Pool
 		Addresses []string
 		Self      *wire.EntryStatus
-		// Configured is called with each newer configuration.
+		// OnConfiguration is called with each newer configuration.
 		OnConfiguration func(*wire.ConfigurationVersion)
 		// OnEntriesChanged is called with the ids of the entries when they change.
 		OnEntriesChanged func(ids []string)
-		// Drained is called with the failure domains that get no new work when they
+		// OnDrainedChanged is called with the failure domains that get no new work when they
 		// change.
 		OnDrainedChanged func(domains []string)
 	}
@@ -85,9 +85,9 @@
 		term                uint64
 		// leaderChanged is closed when another leader than this one is known.
 		leaderChanged chan struct{}
-		// fetching guards against several loops fetching one version.
+		// fetchMu guards against several loops fetching one version.
 		fetchMu sync.Mutex
-		// reviewing keeps OnEntriesChanged and Drained in the order of the views.
+		// refreshMu keeps OnEntriesChanged and Drained in the order of the views.
 		refreshMu sync.Mutex
 	}
 )
@@ -123,7 +123,7 @@
 	u.configuredAddresses = addresses
 }
 
-// follow keeps one loop running for each address that is set or a member.
+// syncLoops keeps one loop running for each address that is set or a member.
 func (u *Uplink) syncLoops(ctx context.Context, addresses []string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -236,7 +236,7 @@
 	}
 }
 
-// review works out from what the replicas said lately who leads, by the
+// refresh works out from what the replicas said lately who leads, by the
 // highest term, and which entries there are.
 func (u *Uplink) refresh() {
 	u.refreshMu.Lock()
@@ -320,7 +320,7 @@
 	u.applyConfiguration(got.Current)
 }
 
-// adopt puts a configuration in force unless a later one is.
+// applyConfiguration puts a configuration in force unless a later one is.
 func (u *Uplink) applyConfiguration(v *wire.ConfigurationVersion) {
 	current := u.config.Load()
 	if current != nil && v.Version <= current.Version {
--- a/internal/run/ctrl/work.go
+++ b/internal/run/ctrl/work.go
@@ -34,7 +34,7 @@
 	// Platform connects a control process with agents and operators that
 	// don't speak its gRPC interface. The zero value connects with none.
 	Platform struct {
-		// Carry takes an order to its agent and returns what became of it. It
+		// SendOrder takes an order to its agent and returns what became of it. It
 		// is called on a goroutine of its own.
 		SendOrder func(context.Context, drive.Order) drive.Answer
 		// Advise asks the outside service at the address of the settings which
--- a/internal/run/entry/entry.go
+++ b/internal/run/entry/entry.go
@@ -36,7 +36,7 @@
 const (
 	// sweepInterval is how often evidence and waiting calls are looked at.
 	sweepInterval = 50 * time.Millisecond
-	// settling is the time within which the other entries have surely seen a
+	// settleTime is the time within which the other entries have surely seen a
 	// change of entries: two hellos and some.
 	settleTime = time.Second
 	// messageOverhead is what a message may have beside its payload.
--- a/internal/run/entry/hear.go
+++ b/internal/run/entry/hear.go
@@ -102,7 +102,7 @@
 	return s.pending
 }
 
-// hurry shares at once instead of at the next interval.
+// flushSoon shares at once instead of at the next interval.
 func (s *sharer) flushSoon() {
 	select {
 	case s.pendingSignal() <- struct{}{}:
--- a/internal/run/entry/pass.go
+++ b/internal/run/entry/pass.go
@@ -39,7 +39,7 @@
 	_ wire.OperatorServiceServer = (*operatorService)(nil)
 )
 
-// pass asks the leader by one method of a client.
+// forward asks the leader by one method of a client.
 func forward[C, Q, R any](ctx context.Context, e *Entry, client func(grpc.ClientConnInterface) C, method func(C, context.Context, Q, ...grpc.CallOption) (R, error), request Q) (R, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
