--- a/internal/front/admit/queue.go
+++ b/internal/front/admit/queue.go
@@ -1,10 +1,8 @@
-// This file defines Queue, where calls wait for a slot.
+// This file defines Queue, which holds calls that wait for a slot.
 
-// Package admit decides in which order waiting calls are served. Client
-// accounts share by weight (start-time fair queueing): an account that asks
-// for more than its share waits in its own line and not in that of others, and
-// what one leaves unused the others get. Within an account the earliest
-// deadline is first.
+// Package admit orders waiting calls. Client accounts share the slots by weight
+// (start-time fair queueing): the backlog of one account doesn't delay others, and unused
+// shares are redistributed. Within an account the earliest deadline comes first.
 package admit
 
 import (
@@ -16,26 +14,28 @@
 var _ heap.Interface = (*accountQueue[int])(nil)
 
 type (
-	// Waiter is one call that waits. Grant is called once, when it is its turn.
+	// Waiter is a waiting call.
 	Waiter[T any] struct {
 		Account  string
 		Weight   float64
 		Deadline time.Time
-		// LatestStart is the last moment at which it makes sense to start.
+		// LatestStart is the latest useful start time.
 		LatestStart time.Time
-		Grant       func(T)
+		// Grant is called at most once, by whoever removes the call from the queue.
+		Grant func(T)
 
-		index int // in its line, or -1
+		index int // in its account's heap, or -1
 	}
 
+	// accountQueue holds an account's waiting calls as a heap ordered by deadline.
 	accountQueue[T any] struct {
 		waiters []*Waiter[T]
-		// virtualStart is the virtual time at which the account's next call begins.
+		// virtualStart is the virtual start time of the account's next call.
 		virtualStart float64
 	}
 
-	// Queue is a weighted fair queue. The zero value is empty and ready. It
-	// isn't safe for concurrent use.
+	// Queue is a weighted fair queue. The zero value is an empty queue. It isn't safe for
+	// concurrent use.
 	Queue[T any] struct {
 		accounts    map[string]*accountQueue[T]
 		virtualTime float64
@@ -43,13 +43,13 @@
 	}
 )
 
-// Len is the number of waiting calls.
+// Len returns the number of waiting calls.
 func (q *Queue[T]) Len() int { return q.length }
 
-// AccountLen is the number of an account's waiting calls.
+// AccountLen returns the number of an account's waiting calls.
 func (q *Queue[T]) AccountLen(account string) int {
-	if l := q.accounts[account]; l != nil {
-		return len(l.waiters)
+	if a := q.accounts[account]; a != nil {
+		return len(a.waiters)
 	}
 	return 0
 }
@@ -59,27 +59,27 @@
 	if q.accounts == nil {
 		q.accounts = map[string]*accountQueue[T]{}
 	}
-	l := q.accounts[w.Account]
-	if l == nil {
-		l = &accountQueue[T]{virtualStart: q.virtualTime}
-		q.accounts[w.Account] = l
+	a := q.accounts[w.Account]
+	if a == nil {
+		a = &accountQueue[T]{virtualStart: q.virtualTime}
+		q.accounts[w.Account] = a
 	}
-	if len(l.waiters) == 0 {
-		l.virtualStart = max(l.virtualStart, q.virtualTime) // no credit for time spent idle
+	if len(a.waiters) == 0 {
+		a.virtualStart = max(a.virtualStart, q.virtualTime) // idle time earns no credit
 	}
-	heap.Push(l, w)
+	heap.Push(a, w)
 	q.length++
 }
 
-// Pop takes the call whose turn it is; nil when none waits.
+// Pop removes and returns the next call, or nil if the queue is empty.
 func (q *Queue[T]) Pop() *Waiter[T] {
 	var next *accountQueue[T]
-	for _, l := range q.accounts {
-		if len(l.waiters) == 0 {
+	for _, a := range q.accounts {
+		if len(a.waiters) == 0 {
 			continue
 		}
-		if next == nil || l.virtualStart < next.virtualStart || (l.virtualStart == next.virtualStart && l.waiters[0].Deadline.Before(next.waiters[0].Deadline)) {
-			next = l
+		if next == nil || a.virtualStart < next.virtualStart || (a.virtualStart == next.virtualStart && a.waiters[0].Deadline.Before(next.waiters[0].Deadline)) {
+			next = a
 		}
 	}
 	if next == nil {
@@ -89,84 +89,84 @@
 	q.length--
 	q.virtualTime = next.virtualStart
 	next.virtualStart += 1 / max(w.Weight, 1e-9)
-	q.prune()
+	q.pruneIdle()
 	return w
 }
 
-// Remove takes a call out; false when it isn't there any more.
+// Remove removes a call and reports whether it was in the queue.
 func (q *Queue[T]) Remove(w *Waiter[T]) bool {
-	l := q.accounts[w.Account]
-	if l == nil || w.index < 0 || w.index >= len(l.waiters) || l.waiters[w.index] != w {
+	a := q.accounts[w.Account]
+	if a == nil || w.index < 0 || w.index >= len(a.waiters) || a.waiters[w.index] != w {
 		return false
 	}
-	heap.Remove(l, w.index)
+	heap.Remove(a, w.index)
 	q.length--
 	return true
 }
 
-// RemoveIf takes out all calls for which hopeless returns true. It is given how
-// many of the account's calls that stay go before each.
-func (q *Queue[T]) RemoveIf(hopeless func(w *Waiter[T], ahead int) bool) []*Waiter[T] {
-	var taken []*Waiter[T]
-	for _, l := range q.accounts {
-		inOrder := slices.Clone(l.waiters)
+// RemoveIf removes and returns the calls for which drop returns true. ahead is the number
+// of the account's remaining calls that precede w.
+func (q *Queue[T]) RemoveIf(drop func(w *Waiter[T], ahead int) bool) []*Waiter[T] {
+	var removed []*Waiter[T]
+	for _, account := range q.accounts {
+		inOrder := slices.Clone(account.waiters)
 		slices.SortFunc(inOrder, func(a, b *Waiter[T]) int { return a.Deadline.Compare(b.Deadline) })
 		ahead := 0
 		for _, w := range inOrder {
-			if hopeless(w, ahead) {
+			if drop(w, ahead) {
 				q.Remove(w)
-				taken = append(taken, w)
+				removed = append(removed, w)
 				continue
 			}
 			ahead++
 		}
 	}
-	return taken
+	return removed
 }
 
-// Share is the part of the slots that an account is due while all that wait
-// do, itself included.
+// Share returns the fraction of the slots that an account with a weight is entitled to,
+// given the other accounts with waiting calls.
 func (q *Queue[T]) Share(account string, weight float64) float64 {
 	total := weight
-	for name, l := range q.accounts {
-		if name != account && len(l.waiters) > 0 {
-			total += l.waiters[0].Weight
+	for name, a := range q.accounts {
+		if name != account && len(a.waiters) > 0 {
+			total += a.waiters[0].Weight
 		}
 	}
 	return weight / total
 }
 
-// prune forgets empty lines that have no debt left.
-func (q *Queue[T]) prune() {
-	for name, l := range q.accounts {
-		if len(l.waiters) == 0 && l.virtualStart <= q.virtualTime {
+// pruneIdle removes accounts without waiting calls whose virtual time has been reached.
+func (q *Queue[T]) pruneIdle() {
+	for name, a := range q.accounts {
+		if len(a.waiters) == 0 && a.virtualStart <= q.virtualTime {
 			delete(q.accounts, name)
 		}
 	}
 }
 
-// Len is part of heap.Interface; a line is a heap by deadline.
+// Len implements heap.Interface.
 func (a *accountQueue[T]) Len() int { return len(a.waiters) }
 
-// Less is part of heap.Interface.
+// Less implements heap.Interface.
 func (a *accountQueue[T]) Less(i, j int) bool {
 	return a.waiters[i].Deadline.Before(a.waiters[j].Deadline)
 }
 
-// Swap is part of heap.Interface.
+// Swap implements heap.Interface.
 func (a *accountQueue[T]) Swap(i, j int) {
 	a.waiters[i], a.waiters[j] = a.waiters[j], a.waiters[i]
 	a.waiters[i].index, a.waiters[j].index = i, j
 }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (a *accountQueue[T]) Push(x any) {
 	w := x.(*Waiter[T])
 	w.index = len(a.waiters)
 	a.waiters = append(a.waiters, w)
 }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (a *accountQueue[T]) Pop() any {
 	last := len(a.waiters) - 1
 	w := a.waiters[last]
--- a/internal/front/admit/queue_test.go
+++ b/internal/front/admit/queue_test.go
@@ -1,4 +1,4 @@
-// This file defines the tests of the fair queue.
+// This file defines tests of the fair queue.
 
 package admit_test
 
@@ -16,8 +16,7 @@
 	return &admit.Waiter[int]{Account: account, Weight: weight, Deadline: time.Unix(int64(deadline), 0)}
 }
 
-// Symptom: one client account's flood makes another's calls wait. The greedy
-// one has a hundred times as many waiting and still gets its share only.
+// Guards against one client account's backlog delaying the calls of another.
 func TestGreedyAccountGetsItsShare(t *testing.T) {
 	var q admit.Queue[int]
 	for i := range 1000 {
@@ -48,8 +47,7 @@
 	assert.Assert(t, counts["three"] >= 148 && counts["three"] <= 152, "%v", counts)
 }
 
-// An account that was idle gets no credit for it, or its return would starve
-// the others.
+// Guards against an account that was idle starving the others when it returns.
 func TestNoCreditForIdleTime(t *testing.T) {
 	var q admit.Queue[int]
 	for i := range 300 {
@@ -81,15 +79,15 @@
 	assert.Assert(t, q.Pop() == nil)
 }
 
-// Whatever is pushed comes out once, by Pop, Remove or RemoveIf.
-func TestEveryCallComesOutOnce(t *testing.T) {
+// Each call is removed exactly once, by Pop, Remove or RemoveIf.
+func TestEachCallIsRemovedOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var q admit.Queue[int]
-		in := map[*admit.Waiter[int]]bool{}
+		queued := map[*admit.Waiter[int]]bool{}
 		var all []*admit.Waiter[int]
-		take := func(w *admit.Waiter[int]) {
-			assert.Assert(rt, in[w], "came out twice")
-			delete(in, w)
+		checkRemoved := func(w *admit.Waiter[int]) {
+			assert.Assert(rt, queued[w], "call removed twice")
+			delete(queued, w)
 		}
 		for range rapid.IntRange(1, 80).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 4).Draw(rt, "what") {
@@ -97,25 +95,25 @@
 				account := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "account")
 				w := waiter(account, 1, rapid.IntRange(0, 9).Draw(rt, "deadline"))
 				q.Push(w)
-				in[w] = true
+				queued[w] = true
 				all = append(all, w)
 			case 2:
 				if w := q.Pop(); w != nil {
-					take(w)
+					checkRemoved(w)
 				}
 			case 3:
 				if len(all) > 0 {
 					w := all[rapid.IntRange(0, len(all)-1).Draw(rt, "which")]
 					if q.Remove(w) {
-						take(w)
+						checkRemoved(w)
 					}
 				}
 			case 4:
 				for _, w := range q.RemoveIf(func(w *admit.Waiter[int], _ int) bool { return w.Deadline.Unix() < 3 }) {
-					take(w)
+					checkRemoved(w)
 				}
 			}
-			assert.Equal(rt, q.Len(), len(in))
+			assert.Equal(rt, q.Len(), len(queued))
 		}
 	})
 }
--- a/internal/front/desk/desk.go
+++ b/internal/front/desk/desk.go
@@ -1,10 +1,10 @@
-// This file defines Desk and where its answers come from.
+// This file defines Desk, which passes WorkService calls to the leader.
 
-// Package desk is how any process of the system has jobs of steps, catalogs
-// and agents' reports dealt with by the leader.
+// Package desk passes calls about jobs of steps, catalogs, failure domains and agent
+// reports from any process to the leader.
 //
-// An error with code Unavailable means that nothing was done; one with code
-// Aborted, DeadlineExceeded or Canceled that it may have been.
+// An error with code Unavailable means that the call wasn't executed. After Aborted,
+// DeadlineExceeded or Canceled it may have been.
 package desk
 
 import (
@@ -19,7 +19,7 @@
 	// Conn is a connection to a control replica.
 	Conn = grpc.ClientConnInterface
 
-	// Desk deals with what callers, operators and agents want.
+	// Desk holds the methods of WorkService as the leader executes them.
 	Desk struct {
 		Submit     func(context.Context, *wire.SubmitWorkRequest) (*wire.SubmitWorkResponse, error)
 		Inspect    func(context.Context, *wire.InspectWorkRequest) (*wire.InspectWorkResponse, error)
@@ -32,7 +32,7 @@
 	}
 )
 
-// Local is a desk whose answers a service in this process gives.
+// Local returns a Desk that calls a service in this process.
 func Local(s wire.WorkServiceServer) Desk {
 	return Desk{
 		Submit: s.SubmitWork, Inspect: s.InspectWork, Cancel: s.CancelWork,
@@ -41,7 +41,7 @@
 	}
 }
 
-// Remote is a desk that asks the replica to which dial gives a connection.
+// Remote returns a Desk that calls the replica to which dial connects.
 func Remote(dial func() (Conn, error)) Desk {
 	return Desk{
 		Submit:     remoteCall(dial, wire.WorkServiceClient.SubmitWork),
@@ -67,47 +67,47 @@
 	}
 }
 
-// Choose is a desk that takes the first of two while here is true.
-func Choose(here func() bool, first, second Desk) Desk {
+// Choose returns a Desk that uses first while useFirst returns true, and second otherwise.
+func Choose(useFirst func() bool, first, second Desk) Desk {
 	return Desk{
-		Submit:     chooseCall(here, first.Submit, second.Submit),
-		Inspect:    chooseCall(here, first.Inspect, second.Inspect),
-		Cancel:     chooseCall(here, first.Cancel, second.Cancel),
-		PutCatalog: chooseCall(here, first.PutCatalog, second.PutCatalog),
-		GetCatalog: chooseCall(here, first.GetCatalog, second.GetCatalog),
-		Report:     chooseCall(here, first.Report, second.Report),
-		Drain:      chooseCall(here, first.Drain, second.Drain),
-		Domains:    chooseCall(here, first.Domains, second.Domains),
+		Submit:     chooseCall(useFirst, first.Submit, second.Submit),
+		Inspect:    chooseCall(useFirst, first.Inspect, second.Inspect),
+		Cancel:     chooseCall(useFirst, first.Cancel, second.Cancel),
+		PutCatalog: chooseCall(useFirst, first.PutCatalog, second.PutCatalog),
+		GetCatalog: chooseCall(useFirst, first.GetCatalog, second.GetCatalog),
+		Report:     chooseCall(useFirst, first.Report, second.Report),
+		Drain:      chooseCall(useFirst, first.Drain, second.Drain),
+		Domains:    chooseCall(useFirst, first.Domains, second.Domains),
 	}
 }
 
-func chooseCall[Q, R any](here func() bool, first, second func(context.Context, *Q) (*R, error)) func(context.Context, *Q) (*R, error) {
+func chooseCall[Q, R any](useFirst func() bool, first, second func(context.Context, *Q) (*R, error)) func(context.Context, *Q) (*R, error) {
 	return func(ctx context.Context, request *Q) (*R, error) {
-		if here() {
+		if useFirst() {
 			return first(ctx, request)
 		}
 		return second(ctx, request)
 	}
 }
 
-// Over is a desk that makes each call through a function that may repeat it.
-// All calls are idempotent.
-func Over(again func(ctx context.Context, once func(context.Context, Conn) error) error) Desk {
+// Over returns a Desk that makes each call through retry, which may repeat it. All calls
+// are idempotent.
+func Over(retry func(ctx context.Context, once func(context.Context, Conn) error) error) Desk {
 	return Desk{
-		Submit:     retriedCall(again, wire.WorkServiceClient.SubmitWork),
-		Inspect:    retriedCall(again, wire.WorkServiceClient.InspectWork),
-		Cancel:     retriedCall(again, wire.WorkServiceClient.CancelWork),
-		PutCatalog: retriedCall(again, wire.WorkServiceClient.PutCatalog),
-		GetCatalog: retriedCall(again, wire.WorkServiceClient.GetCatalog),
-		Report:     retriedCall(again, wire.WorkServiceClient.ReportAgent),
-		Drain:      retriedCall(again, wire.WorkServiceClient.DrainDomain),
-		Domains:    retriedCall(again, wire.WorkServiceClient.ListDomains),
+		Submit:     retriedCall(retry, wire.WorkServiceClient.SubmitWork),
+		Inspect:    retriedCall(retry, wire.WorkServiceClient.InspectWork),
+		Cancel:     retriedCall(retry, wire.WorkServiceClient.CancelWork),
+		PutCatalog: retriedCall(retry, wire.WorkServiceClient.PutCatalog),
+		GetCatalog: retriedCall(retry, wire.WorkServiceClient.GetCatalog),
+		Report:     retriedCall(retry, wire.WorkServiceClient.ReportAgent),
+		Drain:      retriedCall(retry, wire.WorkServiceClient.DrainDomain),
+		Domains:    retriedCall(retry, wire.WorkServiceClient.ListDomains),
 	}
 }
 
-func retriedCall[Q, R any](again func(context.Context, func(context.Context, Conn) error) error, call method[Q, R]) func(context.Context, *Q) (*R, error) {
+func retriedCall[Q, R any](retry func(context.Context, func(context.Context, Conn) error) error, call method[Q, R]) func(context.Context, *Q) (*R, error) {
 	return func(ctx context.Context, request *Q) (response *R, err error) {
-		err = again(ctx, func(ctx context.Context, conn Conn) error {
+		err = retry(ctx, func(ctx context.Context, conn Conn) error {
 			response, err = call(wire.NewWorkServiceClient(conn), ctx, request)
 			return err
 		})
--- a/internal/front/relay/relay.go
+++ b/internal/front/relay/relay.go
@@ -1,7 +1,7 @@
-// This file defines Relay, which passes workers' reports to the leader.
+// This file defines Relay, which forwards workers' reports to the leader.
 
-// Package relay lets workers attend at any entry: their reports go to the
-// control leader on one stream, and the answers come back to each.
+// Package relay lets workers connect to any entry. The entry forwards their reports to the
+// control leader on a single stream, and the answers back to each worker.
 package relay
 
 import (
@@ -24,15 +24,15 @@
 )
 
 const (
-	// reportQueueSize bounds what waits for the leader. A report that is
-	// dropped is followed by a newer one within a second.
+	// reportQueueSize bounds the reports that wait for the leader. Workers report again
+	// within a second of a dropped report.
 	reportQueueSize = 8192
 	answerQueueSize = 64
 	reconnectDelay  = 50 * time.Millisecond
-	// leaderCheckInterval is how often a stream looks whether it goes to the leader.
+	// leaderCheckInterval is how often a stream checks that it goes to the current leader.
 	leaderCheckInterval = 100 * time.Millisecond
 	// unansweredTimeout is how long reports may go unanswered before the stream is
-	// given up: workers' leases run out while it is silent.
+	// replaced; the workers' leases expire in the meantime.
 	unansweredTimeout = 1500 * time.Millisecond
 )
 
@@ -43,7 +43,7 @@
 )
 
 type (
-	// Relay serves WorkerService. It is made by New.
+	// Relay implements WorkerService.
 	Relay struct {
 		wire.UnimplementedWorkerServiceServer
 		uplink  *uplink.Uplink
@@ -54,10 +54,10 @@
 		closing chan struct{}
 
 		mu      sync.Mutex
-		streams map[string]*workerStream
+		streams map[string]*workerStream // by worker ID
 	}
 
-	// workerStream is one worker's stream at this entry.
+	// workerStream is a worker's stream at this entry.
 	workerStream struct {
 		incarnation string
 		answers     chan *wire.AttendResponse
@@ -66,7 +66,7 @@
 
 var _ wire.WorkerServiceServer = (*Relay)(nil)
 
-// New returns a relay; Run connects it.
+// New returns a relay. Run connects it to the leader.
 func New(entryID string, u *uplink.Uplink, clock clockwork.Clock, logger *slog.Logger) *Relay {
 	return &Relay{
 		uplink: u, clock: clock, logger: logger, entryID: entryID,
@@ -76,21 +76,21 @@
 	}
 }
 
-// Close ends the workers' streams; they attend elsewhere.
+// Close ends the workers' streams, so that they connect to other entries.
 func (r *Relay) Close() { close(r.closing) }
 
-// Attend hears one worker until its stream ends.
+// Attend serves the stream of one worker.
 func (r *Relay) Attend(stream grpc.BidiStreamingServer[wire.AttendRequest, wire.AttendResponse]) error {
-	a := &workerStream{answers: make(chan *wire.AttendResponse, answerQueueSize)}
+	ws := &workerStream{answers: make(chan *wire.AttendResponse, answerQueueSize)}
 	received := make(chan error, 1)
-	go func() { received <- r.receive(stream, a) }()
+	go func() { received <- r.receive(stream, ws) }()
 	for {
 		select {
 		case err := <-received:
 			return err
 		case <-r.closing:
 			return status.Error(codes.Unavailable, "this entry is stopping")
-		case answer := <-a.answers:
+		case answer := <-ws.answers:
 			if err := stream.Send(answer); err != nil {
 				return err
 			}
@@ -98,9 +98,10 @@
 	}
 }
 
-func (r *Relay) receive(stream grpc.BidiStreamingServer[wire.AttendRequest, wire.AttendResponse], a *workerStream) error {
-	var worker string
-	defer func() { r.unregister(worker, a) }()
+// receive reads the reports of one worker and queues them for the leader.
+func (r *Relay) receive(stream grpc.BidiStreamingServer[wire.AttendRequest, wire.AttendResponse], ws *workerStream) error {
+	var workerID string
+	defer func() { r.unregister(workerID, ws) }()
 	for {
 		report, err := stream.Recv()
 		if errors.Is(err, io.EOF) {
@@ -113,12 +114,12 @@
 			refusedReports.Inc()
 			return status.Error(codes.InvalidArgument, err.Error())
 		}
-		if worker != "" && worker != report.Worker.WorkerId {
+		if workerID != "" && workerID != report.Worker.WorkerId {
 			refusedReports.Inc()
 			return status.Error(codes.InvalidArgument, "Worker.WorkerId has changed within the stream")
 		}
-		worker = report.Worker.WorkerId
-		r.register(report, a)
+		workerID = report.Worker.WorkerId
+		r.register(report, ws)
 		select {
 		case r.reports <- report:
 		default:
@@ -127,22 +128,22 @@
 	}
 }
 
-func (r *Relay) register(report *wire.AttendRequest, a *workerStream) {
+func (r *Relay) register(report *wire.AttendRequest, ws *workerStream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a.incarnation = report.Worker.Incarnation
-	r.streams[report.Worker.WorkerId] = a
+	ws.incarnation = report.Worker.Incarnation
+	r.streams[report.Worker.WorkerId] = ws
 }
 
-func (r *Relay) unregister(worker string, a *workerStream) {
+func (r *Relay) unregister(workerID string, ws *workerStream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.streams[worker] == a {
-		delete(r.streams, worker)
+	if r.streams[workerID] == ws {
+		delete(r.streams, workerID)
 	}
 }
 
-// Run keeps a stream to the leader until the context ends.
+// Run maintains a stream to the leader until the context ends.
 func (r *Relay) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if address := r.uplink.LeaderAddress(); address != "" {
@@ -155,7 +156,8 @@
 	}
 }
 
-// runStream relays until the stream breaks, goes silent, or another leads.
+// runStream relays reports until the stream breaks, reports go unanswered for too long, or
+// the leader changes.
 func (r *Relay) runStream(ctx context.Context, leader string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -174,7 +176,7 @@
 	}()
 	ticker := r.clock.NewTicker(leaderCheckInterval)
 	defer ticker.Stop()
-	var unanswered time.Time // when the first report without an answer was sent
+	var unanswered time.Time // when the oldest unanswered report was sent
 	for {
 		select {
 		case <-ctx.Done():
@@ -200,7 +202,7 @@
 	}
 }
 
-// maxBatch bounds the reports of one message.
+// maxBatch bounds the number of reports in one message.
 const maxBatch = 512
 
 func (r *Relay) batch(first *wire.AttendRequest) []*wire.AttendRequest {
@@ -232,15 +234,16 @@
 	}
 }
 
+// forwardAnswer queues an answer for its worker, unless the worker has restarted.
 func (r *Relay) forwardAnswer(answer *wire.WorkerAnswer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a := r.streams[answer.WorkerId]
-	if a == nil || a.incarnation != answer.Incarnation {
+	ws := r.streams[answer.WorkerId]
+	if ws == nil || ws.incarnation != answer.Incarnation {
 		return
 	}
 	select {
-	case a.answers <- answer.Answer:
-	default: // a worker that doesn't read; its next report is answered anew
+	case ws.answers <- answer.Answer:
+	default: // the worker doesn't read; its next report is answered again
 	}
 }
--- a/internal/front/retry/budget.go
+++ b/internal/front/retry/budget.go
@@ -1,29 +1,28 @@
-// This file defines Budget, which bounds retries.
+// This file defines Budget, which limits retries.
 
-// Package retry bounds how much load retries may add. Without a bound, a
-// service that slows down gets more attempts just when it can take fewer, and
-// doesn't recover when the cause is gone.
+// Package retry limits the load added by retries. Without a limit, a slow service would
+// get more attempts when it can handle fewer, and might not recover.
 package retry
 
 import (
 	"sync"
 )
 
-// maxTokens is how many retries a client account's service may make before any
-// first attempt has earned them.
+// maxTokens is the initial and maximum number of retries per client account and service.
 const maxTokens = 10
 
-// Budget lets retries be a part of first attempts. The zero value allows the
-// reserve only.
+// Budget limits retries to a fraction of first attempts, with a token bucket per client
+// account and service. The zero value allows only the initial tokens. It is safe for
+// concurrent use.
 type Budget struct {
-	// Ratio is the retries earned by each first attempt.
+	// Ratio is the number of retries earned by each first attempt.
 	Ratio float64
 
 	mu     sync.Mutex
 	tokens map[string]float64
 }
 
-// Deposit notes a first attempt of a client account on a service.
+// Deposit records a first attempt of a client account on a service.
 func (b *Budget) Deposit(account, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -31,7 +30,7 @@
 	b.set(key, min(b.get(key)+b.Ratio, maxTokens))
 }
 
-// TryWithdraw asks for one retry.
+// TryWithdraw takes one retry from the budget and reports whether there was one.
 func (b *Budget) TryWithdraw(account, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
