--- a/internal/front/uplink/uplink.go
+++ b/internal/front/uplink/uplink.go
@@ -1,10 +1,10 @@
 // This file defines Uplink, an entry's view of the control replicas.
 
-// Package uplink keeps an entry in touch with the control replicas: it learns
-// who leads, which entries there are and which configuration is in force.
+// Package uplink connects an entry with the control replicas. It tracks the leader, the
+// other entries, the configuration and the drained failure domains.
 //
-// Every replica is asked, not the leader alone, so that the loss of a leader
-// costs neither the list of entries nor the news of a configuration.
+// The entry exchanges hellos with every replica, so that the loss of the leader doesn't
+// delay updates.
 package uplink
 
 import (
@@ -26,17 +26,17 @@
 )
 
 const (
-	// refreshInterval is how often what was heard is looked at for its age.
+	// refreshInterval is how often expired replica statuses are ignored.
 	refreshInterval = 100 * time.Millisecond
-	// helloInterval lies between hellos; replicas hold them while there is no
-	// news. helloBackoff follows one that failed.
+	// helloInterval is the pause between hellos, which are long polls. helloBackoff is the
+	// pause after a failed one.
 	helloInterval = 20 * time.Millisecond
 	helloBackoff  = 200 * time.Millisecond
 	helloTimeout  = 1500 * time.Millisecond
-	// statusTTL is how long what a replica said counts.
+	// statusTTL is how long the status of a replica is valid.
 	statusTTL = 2 * time.Second
-	// maxFailedHellos hellos in a row tell that a replica doesn't answer, sooner than its
-	// silence: one alone may be a connection that was reset.
+	// maxFailedHellos is the number of consecutive failed hellos after which a replica is
+	// unresponsive. A single failure may be a connection reset.
 	maxFailedHellos = 2
 )
 
@@ -47,7 +47,7 @@
 )
 
 type (
-	// Options are fixed for the life of an Uplink.
+	// Options configure an Uplink.
 	Options struct {
 		Clock     clockwork.Clock
 		Logger    *slog.Logger
@@ -56,20 +56,20 @@
 		Self      *wire.EntryStatus
 		// OnConfiguration is called with each newer configuration.
 		OnConfiguration func(*wire.ConfigurationVersion)
-		// OnEntriesChanged is called with the ids of the entries when they change.
+		// OnEntriesChanged is called with the IDs of the entries when they change.
 		OnEntriesChanged func(ids []string)
-		// OnDrainedChanged is called with the failure domains that get no new work when they
-		// change.
+		// OnDrainedChanged is called with the drained failure domains when they change. It
+		// may be nil.
 		OnDrainedChanged func(domains []string)
 	}
 
 	replicaStatus struct {
 		response     *wire.HelloResponse
 		receivedAt   time.Time
-		failedHellos int // hellos in a row since then
+		failedHellos int // since receivedAt
 	}
 
-	// Uplink may be used by many goroutines once Run is started.
+	// Uplink tracks the control replicas. It is safe for concurrent use once Run is started.
 	Uplink struct {
 		options Options
 		config  atomic.Pointer[wire.ConfigurationVersion]
@@ -83,16 +83,16 @@
 		drainRevision       uint64 // revision of the drained failure domains
 		leaderAddress       string
 		term                uint64
-		// leaderChanged is closed when another leader than this one is known.
+		// leaderChanged is closed when another leader is known.
 		leaderChanged chan struct{}
-		// fetchMu guards against several loops fetching one version.
+		// fetchMu prevents several loops from fetching the same configuration.
 		fetchMu sync.Mutex
-		// refreshMu keeps OnEntriesChanged and Drained in the order of the views.
+		// refreshMu orders the calls of OnEntriesChanged and OnDrainedChanged.
 		refreshMu sync.Mutex
 	}
 )
 
-// New returns an uplink that knows nothing yet.
+// New returns an uplink. Run connects it.
 func New(options Options) *Uplink {
 	return &Uplink{
 		options: options, configuredAddresses: options.Addresses, replicas: map[string]replicaStatus{}, helloLoops: map[string]context.CancelFunc{},
@@ -100,7 +100,7 @@
 	}
 }
 
-// Run keeps in touch until the context ends.
+// Run exchanges hellos with the replicas until the context ends.
 func (u *Uplink) Run(ctx context.Context) {
 	u.syncLoops(ctx, nil)
 	ticker := u.options.Clock.NewTicker(refreshInterval)
@@ -116,14 +116,14 @@
 	}
 }
 
-// SetAddresses takes other addresses of control replicas than the options name.
+// SetAddresses replaces the configured addresses of control replicas.
 func (u *Uplink) SetAddresses(addresses []string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.configuredAddresses = addresses
 }
 
-// syncLoops keeps one loop running for each address that is set or a member.
+// syncLoops runs one hello loop for each configured or member address.
 func (u *Uplink) syncLoops(ctx context.Context, addresses []string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -207,8 +207,8 @@
 	return u.drainRevision
 }
 
-// applyDrained takes over which failure domains are drained, unless later ones are
-// known: a replica may lag behind another one that told before.
+// applyDrained updates the drained failure domains, unless a later revision is known: the
+// replica may lag behind another one.
 func (u *Uplink) applyDrained(r *wire.HelloResponse) {
 	u.refreshMu.Lock()
 	defer u.refreshMu.Unlock()
@@ -230,14 +230,13 @@
 func (u *Uplink) recordFailure(address string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if h, ok := u.replicas[address]; ok {
-		h.failedHellos++
-		u.replicas[address] = h
+	if replica, ok := u.replicas[address]; ok {
+		replica.failedHellos++
+		u.replicas[address] = replica
 	}
 }
 
-// refresh works out from what the replicas said lately who leads, by the
-// highest term, and which entries there are.
+// refresh derives the leader, by highest term, and the entries from the valid statuses.
 func (u *Uplink) refresh() {
 	u.refreshMu.Lock()
 	defer u.refreshMu.Unlock()
@@ -246,21 +245,21 @@
 	var leader string
 	var term uint64
 	entries := map[string]*wire.EntryStatus{u.options.Self.EntryId: u.options.Self}
-	fresh := 0
-	for _, h := range u.replicas {
-		if now.Sub(h.receivedAt) > statusTTL {
+	valid := 0
+	for _, replica := range u.replicas {
+		if now.Sub(replica.receivedAt) > statusTTL {
 			continue
 		}
-		fresh++
-		if h.response.LeaderAddress != "" && h.response.Term >= term {
-			leader, term = h.response.LeaderAddress, h.response.Term
+		valid++
+		if replica.response.LeaderAddress != "" && replica.response.Term >= term {
+			leader, term = replica.response.LeaderAddress, replica.response.Term
 		}
-		for _, e := range h.response.Entries {
+		for _, e := range replica.response.Entries {
 			entries[e.EntryId] = e
 		}
 	}
 	changed := false
-	if fresh > 0 { // else the last view is the best there is
+	if valid > 0 { // otherwise keep the last known entries
 		changed = u.setEntries(entries)
 	}
 	if leader != "" && leader != u.leaderAddress {
@@ -292,9 +291,9 @@
 	return !same
 }
 
-// fetchConfiguration fetches a configuration newer than the one in force here. The first
-// one must come from a leader confirmed by a quorum: this entry, or the one it
-// replaces, may have had a later one in force than a lagging replica knows.
+// fetchConfiguration fetches a newer configuration from the replica. The first one must
+// be confirmed by a quorum: before its restart this entry may have used a newer one than
+// a lagging replica has.
 func (u *Uplink) fetchConfiguration(ctx context.Context, conn *grpc.ClientConn, r *wire.HelloResponse) {
 	first := u.config.Load() == nil
 	if !first && r.ConfigurationVersion <= u.configurationVersion() {
@@ -313,14 +312,14 @@
 	defer u.fetchMu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
-	got, err := wire.NewControlServiceClient(conn).FetchConfiguration(ctx, &wire.FetchConfigurationRequest{QuorumConfirmed: first})
-	if err != nil || got.Current == nil {
+	response, err := wire.NewControlServiceClient(conn).FetchConfiguration(ctx, &wire.FetchConfigurationRequest{QuorumConfirmed: first})
+	if err != nil || response.Current == nil {
 		return
 	}
-	u.applyConfiguration(got.Current)
+	u.applyConfiguration(response.Current)
 }
 
-// applyConfiguration puts a configuration in force unless a later one is.
+// applyConfiguration applies a configuration if it is newer than the current one.
 func (u *Uplink) applyConfiguration(v *wire.ConfigurationVersion) {
 	current := u.config.Load()
 	if current != nil && v.Version <= current.Version {
@@ -336,19 +335,19 @@
 	return u.config.Load().GetVersion()
 }
 
-// Configuration is what is in force here; nil before the first.
+// Configuration returns the current configuration, or nil before the first one.
 func (u *Uplink) Configuration() *wire.ConfigurationVersion {
 	return u.config.Load()
 }
 
-// Entries lists the entries seen, this one included.
+// Entries returns the known entries, including this one.
 func (u *Uplink) Entries() []*wire.EntryStatus {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.entries
 }
 
-// Addresses are those of all processes that this entry talks to.
+// Addresses returns the addresses of all processes that this entry connects to.
 func (u *Uplink) Addresses() map[string]bool {
 	addresses := map[string]bool{}
 	members := u.memberAddresses()
@@ -366,10 +365,10 @@
 func (u *Uplink) memberAddresses() []string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	// A replica that waits to be let in answers too, and knows no members.
+	// A replica that hasn't joined the cluster responds without members.
 	var newest *wire.HelloResponse
-	for address, h := range u.replicas {
-		r := h.response
+	for address, replica := range u.replicas {
+		r := replica.response
 		if len(r.Members) == 0 {
 			continue
 		}
@@ -384,43 +383,44 @@
 	return addresses
 }
 
-// HasQuorum tells whether a majority of the voters was heard lately.
+// HasQuorum reports whether a majority of the members responded within statusTTL.
 func (u *Uplink) HasQuorum() bool {
-	heardLately, voters := u.countVoters(func(replicaStatus) bool { return true })
-	return voters > 0 && heardLately > voters/2
+	responded, members := u.countMembers(func(replicaStatus) bool { return true })
+	return members > 0 && responded > members/2
 }
 
-// quorumResponsive tells whether a majority of the voters may answer: all but those
-// that have said nothing for too long, or whose hellos failed again. Before any
-// voter is known it may.
+// quorumResponsive reports whether a majority of the members is expected to respond: those
+// with a valid status and fewer than maxFailedHellos failures. It returns true if no
+// member is known.
 func (u *Uplink) quorumResponsive() bool {
-	answering, voters := u.countVoters(func(h replicaStatus) bool { return h.failedHellos < maxFailedHellos })
-	return voters == 0 || answering > voters/2
+	responsive, members := u.countMembers(func(replica replicaStatus) bool { return replica.failedHellos < maxFailedHellos })
+	return members == 0 || responsive > members/2
 }
 
-// countVoters counts the voters that were heard lately and that a condition holds
-// for, and all.
-func (u *Uplink) countVoters(holds func(replicaStatus) bool) (counted, voters int) {
+// countMembers returns the number of members with a valid status that satisfies a
+// condition, and the number of all members.
+func (u *Uplink) countMembers(condition func(replicaStatus) bool) (counted, members int) {
 	now := u.options.Clock.Now()
 	addresses := u.memberAddresses()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, a := range addresses {
-		if h, ok := u.replicas[a]; ok && now.Sub(h.receivedAt) <= statusTTL && holds(h) {
+		if replica, ok := u.replicas[a]; ok && now.Sub(replica.receivedAt) <= statusTTL && condition(replica) {
 			counted++
 		}
 	}
 	return counted, len(addresses)
 }
 
-// CountQuorumLoss counts the time without a majority, once a second.
+// CountQuorumLoss increments the metric of seconds without a quorum. It is called every
+// second.
 func (u *Uplink) CountQuorumLoss() {
 	if !u.HasQuorum() {
 		withoutQuorum.Inc()
 	}
 }
 
-// LeaderAddress is the leader's address, or empty.
+// LeaderAddress returns the leader's address, or "" if none is known.
 func (u *Uplink) LeaderAddress() string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -436,8 +436,8 @@
 	return u.options.Pool.Conn(address)
 }
 
-// watchLeader is the leader's address, or empty, and what is closed once another
-// leader is known.
+// watchLeader returns the leader's address, or "" if none is known, and a channel that is
+// closed when another leader is known.
 func (u *Uplink) watchLeader() (string, <-chan struct{}) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
