--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -1,12 +1,11 @@
-// This file defines Roster, the list of backend servers an entry knows.
+// This file defines Roster, an entry's list of backend servers.
 
-// Package roster keeps the backend servers that have announced themselves, at
-// this entry or at another that passed it on.
+// Package roster tracks the backend servers that have announced themselves to this entry
+// or to another one, which shares their announcements.
 //
-// It is soft state: an announcement older than the limit isn't used, so that a
-// backend server that died unheard, or whose news no longer reach this entry,
-// gets no new work after that time. Leaving is sticky within an incarnation,
-// since an older announcement may arrive by another way after it.
+// The roster is soft state: a backend server gets no new work once its last sign of life
+// is older than a limit. Leaving is sticky within an incarnation, since an older
+// announcement may arrive later through another entry.
 package roster
 
 import (
@@ -29,12 +28,12 @@
 	maxSlots       = 4096
 	maxConnections = 65536
 	maxNameBytes   = 128
-	// recordRetention is how long a silent backend server is remembered, so that
-	// a late announcement of a leaving one doesn't bring it back.
+	// recordRetention is how long the record of an unresponsive backend server is kept, so
+	// that a delayed announcement doesn't make a leaving one usable again.
 	recordRetention = 10 * time.Minute
 )
 
-// ErrInvalidAnnouncement is wrapped by every refusal of an announcement.
+// ErrInvalidAnnouncement is wrapped by the errors of Check.
 var ErrInvalidAnnouncement = errors.New("impossible announcement")
 
 var (
@@ -43,25 +42,25 @@
 )
 
 type (
+	// record is the state of one backend server.
 	record struct {
 		announcement *wire.Announcement
 		lastSeen     time.Time
-		// lastDirect is when it announced itself here, and not through a peer.
+		// lastDirect is the time of the last announcement to this entry itself.
 		lastDirect time.Time
 		usable     bool
 	}
 
-	// Options are fixed for the life of a Roster.
+	// Options configure a Roster.
 	Options struct {
-		// MaxAge is the age of the last sign of life from which on a backend
-		// server isn't used.
+		// MaxAge is the maximum age of the last sign of life of a usable backend server.
 		MaxAge time.Duration
-		// OnChange is called with the usable backend servers of a service
-		// whenever they change, one call at a time.
+		// OnChange is called with the usable backend servers of a service when they
+		// change. Calls are serialized.
 		OnChange func(service string, usable []*wire.Announcement)
 	}
 
-	// Roster may be used by many goroutines.
+	// Roster tracks backend servers. It is safe for concurrent use.
 	Roster struct {
 		options Options
 		mu      sync.Mutex
@@ -75,8 +74,7 @@
 	return &Roster{options: options, records: map[string]*record{}}
 }
 
-// Check refuses an announcement that no sound backend server makes, and names
-// the field.
+// Check validates an announcement. The error names the invalid field.
 func Check(a *wire.Announcement) error {
 	_, _, addressErr := net.SplitHostPort(a.GetAddress())
 	switch {
@@ -99,8 +97,8 @@
 	}
 }
 
-// Announce takes an announcement of the given age. Direct says that it was made
-// to this entry.
+// Announce records an announcement of the given age. direct is set if it was made to this
+// entry.
 func (r *Roster) Announce(now time.Time, a *wire.Announcement, age time.Duration, direct bool) error {
 	if err := Check(a); err != nil {
 		refusedTotal.Inc()
@@ -109,34 +107,34 @@
 	announcedTotal.Inc()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k := r.records[a.BackendServerId]
-	if k == nil {
-		k = &record{}
-		r.records[a.BackendServerId] = k
+	rec := r.records[a.BackendServerId]
+	if rec == nil {
+		rec = &record{}
+		r.records[a.BackendServerId] = rec
 	}
 	switch {
-	case k.announcement != nil && a.Incarnation < k.announcement.Incarnation:
+	case rec.announcement != nil && a.Incarnation < rec.announcement.Incarnation:
 		return nil
-	case k.announcement != nil && a.Incarnation == k.announcement.Incarnation && k.announcement.Leaving && !a.Leaving:
+	case rec.announcement != nil && a.Incarnation == rec.announcement.Incarnation && rec.announcement.Leaving && !a.Leaving:
 		a = proto.Clone(a).(*wire.Announcement)
 		a.Leaving = true
 	}
-	changed := k.announcement == nil || !proto.Equal(k.announcement, a)
-	old := k.announcement
+	changed := rec.announcement == nil || !proto.Equal(rec.announcement, a)
+	old := rec.announcement
 	if changed {
-		k.announcement = a
+		rec.announcement = a
 	}
-	if at := now.Add(-age); at.After(k.lastSeen) {
-		k.lastSeen = at
+	if at := now.Add(-age); at.After(rec.lastSeen) {
+		rec.lastSeen = at
 	}
 	if direct {
-		k.lastDirect = now
+		rec.lastDirect = now
 	}
-	usable := r.usable(k, now)
-	if !changed && usable == k.usable {
+	usable := r.usable(rec, now)
+	if !changed && usable == rec.usable {
 		return nil
 	}
-	k.usable = usable
+	rec.usable = usable
 	r.notify(now, a.Service)
 	if old != nil && old.Service != a.Service {
 		r.notify(now, old.Service)
@@ -144,26 +142,26 @@
 	return nil
 }
 
-// RecordReply notes a sign of life from an answer to a request.
+// RecordReply records the response of a backend server to a request as a sign of life.
 func (r *Roster) RecordReply(now time.Time, id string, incarnation uint64, leaving bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k := r.records[id]
-	if k == nil || k.announcement.Incarnation != incarnation {
+	rec := r.records[id]
+	if rec == nil || rec.announcement.Incarnation != incarnation {
 		return
 	}
-	if now.After(k.lastSeen) {
-		k.lastSeen = now
+	if now.After(rec.lastSeen) {
+		rec.lastSeen = now
 	}
-	if leaving && !k.announcement.Leaving {
-		k.announcement = proto.Clone(k.announcement).(*wire.Announcement)
-		k.announcement.Leaving = true
-		k.usable = false
-		r.notify(now, k.announcement.Service)
+	if leaving && !rec.announcement.Leaving {
+		rec.announcement = proto.Clone(rec.announcement).(*wire.Announcement)
+		rec.announcement.Leaving = true
+		rec.usable = false
+		r.notify(now, rec.announcement.Service)
 	}
 }
 
-// SetDrained names the failure domains whose backend servers get no new work.
+// SetDrained sets the failure domains whose backend servers get no new work.
 func (r *Roster) SetDrained(now time.Time, domains []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -174,24 +172,24 @@
 	r.refresh(now)
 }
 
-// Sweep takes those out of use whose evidence has grown too old.
+// Sweep stops using backend servers whose last sign of life is too old.
 func (r *Roster) Sweep(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refresh(now)
 }
 
-// refresh works out anew which backend servers are usable.
+// refresh recomputes which backend servers are usable and removes old records.
 func (r *Roster) refresh(now time.Time) {
 	changed := map[string]bool{}
-	for id, k := range r.records {
-		if now.Sub(k.lastSeen) > recordRetention {
+	for id, rec := range r.records {
+		if now.Sub(rec.lastSeen) > recordRetention {
 			delete(r.records, id)
 			continue
 		}
-		if usable := r.usable(k, now); usable != k.usable {
-			k.usable = usable
-			changed[k.announcement.Service] = true
+		if usable := r.usable(rec, now); usable != rec.usable {
+			rec.usable = usable
+			changed[rec.announcement.Service] = true
 		}
 	}
 	for service := range changed {
@@ -199,27 +197,28 @@
 	}
 }
 
-// DirectAnnouncements lists what was announced here within the limit, for the peers.
+// DirectAnnouncements returns the announcements made to this entry within MaxAge, to be
+// shared with other entries.
 func (r *Roster) DirectAnnouncements(now time.Time) []*wire.HeardAnnouncement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var heard []*wire.HeardAnnouncement
-	for _, k := range r.records {
-		if age := now.Sub(k.lastDirect); !k.lastDirect.IsZero() && age <= r.options.MaxAge {
-			heard = append(heard, &wire.HeardAnnouncement{Announcement: k.announcement, Age: durationpb.New(age)})
+	var announcements []*wire.HeardAnnouncement
+	for _, rec := range r.records {
+		if age := now.Sub(rec.lastDirect); !rec.lastDirect.IsZero() && age <= r.options.MaxAge {
+			announcements = append(announcements, &wire.HeardAnnouncement{Announcement: rec.announcement, Age: durationpb.New(age)})
 		}
 	}
-	return heard
+	return announcements
 }
 
-// List gives all that are remembered, in the order of their ids.
+// List returns the status of all known backend servers, ordered by ID.
 func (r *Roster) List(now time.Time) []*wire.BackendServerStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []*wire.BackendServerStatus
-	for _, k := range r.records {
+	for _, rec := range r.records {
 		list = append(list, &wire.BackendServerStatus{
-			Announcement: k.announcement, EvidenceAge: durationpb.New(now.Sub(k.lastSeen)), Usable: r.usable(k, now),
+			Announcement: rec.announcement, EvidenceAge: durationpb.New(now.Sub(rec.lastSeen)), Usable: r.usable(rec, now),
 		})
 	}
 	sort.Slice(list, func(i, j int) bool {
@@ -228,15 +227,16 @@
 	return list
 }
 
-func (r *Roster) usable(k *record, now time.Time) bool {
-	return !k.announcement.Leaving && !r.drained[k.announcement.FailureDomain] && now.Sub(k.lastSeen) <= r.options.MaxAge
+func (r *Roster) usable(rec *record, now time.Time) bool {
+	return !rec.announcement.Leaving && !r.drained[rec.announcement.FailureDomain] && now.Sub(rec.lastSeen) <= r.options.MaxAge
 }
 
+// notify passes the usable backend servers of a service to OnChange.
 func (r *Roster) notify(now time.Time, service string) {
 	var usable []*wire.Announcement
-	for _, k := range r.records {
-		if k.announcement.Service == service && r.usable(k, now) {
-			usable = append(usable, k.announcement)
+	for _, rec := range r.records {
+		if rec.announcement.Service == service && r.usable(rec, now) {
+			usable = append(usable, rec.announcement)
 		}
 	}
 	sort.Slice(usable, func(i, j int) bool { return usable[i].BackendServerId < usable[j].BackendServerId })
--- a/internal/fleet/roster/roster_test.go
+++ b/internal/fleet/roster/roster_test.go
@@ -1,4 +1,4 @@
-// This file defines the tests of the roster.
+// This file defines tests of the roster.
 
 package roster_test
 
@@ -15,7 +15,7 @@
 
 const limit = 3 * time.Second
 
-var start = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
 func announcement(incarnation uint64, leaving bool) *wire.Announcement {
 	return &wire.Announcement{
@@ -24,88 +24,87 @@
 	}
 }
 
-// newRoster gives a roster and the count of usable servers as last told.
+// newRoster returns a roster and the number of usable servers passed to OnChange, or -1.
 func newRoster() (*roster.Roster, *int) {
 	count := -1
 	return roster.New(roster.Options{MaxAge: limit, OnChange: func(_ string, usable []*wire.Announcement) { count = len(usable) }}), &count
 }
 
-func hear(t *testing.T, r *roster.Roster, at, age time.Duration, a *wire.Announcement) {
+func announce(t *testing.T, r *roster.Roster, at, age time.Duration, a *wire.Announcement) {
 	t.Helper()
-	assert.NilError(t, r.Announce(start.Add(at), a, age, true))
+	assert.NilError(t, r.Announce(startTime.Add(at), a, age, true))
 }
 
-// Guards against requests that are sent to a drained failure domain.
-func TestBackendServersOfADrainedDomainAreNotUsable(t *testing.T) {
+// Guards against sending requests to a drained failure domain.
+func TestBackendServersOfDrainedDomainAreNotUsable(t *testing.T) {
 	r, count := newRoster()
 	a := announcement(1, false)
 	a.FailureDomain = "east"
-	hear(t, r, 0, 0, a)
-	r.SetDrained(start, []string{"west"})
+	announce(t, r, 0, 0, a)
+	r.SetDrained(startTime, []string{"west"})
 	assert.Equal(t, *count, 1)
-	r.SetDrained(start, []string{"west", "east"})
+	r.SetDrained(startTime, []string{"west", "east"})
 	assert.Equal(t, *count, 0)
-	hear(t, r, time.Second, 0, a)
-	assert.Equal(t, *count, 0, "news of it must not bring it back")
-	r.SetDrained(start.Add(time.Second), nil)
+	announce(t, r, time.Second, 0, a)
+	assert.Equal(t, *count, 0, "an announcement must not make it usable again")
+	r.SetDrained(startTime.Add(time.Second), nil)
 	assert.Equal(t, *count, 1)
 }
 
-// Each row is a sequence of news and how many servers are usable after it.
 func TestUsable(t *testing.T) {
-	type news struct {
+	type received struct {
 		at, age     time.Duration
 		incarnation uint64
 		leaving     bool
 	}
 	cases := []struct {
-		name  string
-		news  []news
-		sweep time.Duration
-		want  int
+		name     string
+		received []received
+		sweep    time.Duration
+		want     int
 	}{
-		{"announced", []news{{0, 0, 1, false}}, time.Second, 1},
-		{"evidence too old", []news{{0, 0, 1, false}}, 4 * time.Second, 0},
-		{"heard late through a peer", []news{{0, 2900 * time.Millisecond, 1, false}}, time.Second, 0},
-		{"leaving", []news{{0, 0, 1, false}, {1, 0, 1, true}}, time.Second, 0},
-		{"an older announcement after leaving", []news{{0, 0, 1, true}, {1, time.Millisecond, 1, false}}, time.Second, 0},
-		{"started again after leaving", []news{{0, 0, 1, true}, {1, 0, 2, false}}, time.Second, 1},
-		{"an older incarnation after a newer", []news{{0, 0, 2, false}, {1, 0, 1, true}}, time.Second, 1},
+		{"announced", []received{{0, 0, 1, false}}, time.Second, 1},
+		{"last sign of life too old", []received{{0, 0, 1, false}}, 4 * time.Second, 0},
+		{"late announcement through another entry", []received{{0, 2900 * time.Millisecond, 1, false}}, time.Second, 0},
+		{"leaving", []received{{0, 0, 1, false}, {1, 0, 1, true}}, time.Second, 0},
+		{"an older announcement after leaving", []received{{0, 0, 1, true}, {1, time.Millisecond, 1, false}}, time.Second, 0},
+		{"restarted after leaving", []received{{0, 0, 1, true}, {1, 0, 2, false}}, time.Second, 1},
+		{"an older incarnation after a newer", []received{{0, 0, 2, false}, {1, 0, 1, true}}, time.Second, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r, count := newRoster()
-			for _, n := range c.news {
-				hear(t, r, n.at, n.age, announcement(n.incarnation, n.leaving))
+			for _, n := range c.received {
+				announce(t, r, n.at, n.age, announcement(n.incarnation, n.leaving))
 			}
-			r.Sweep(start.Add(c.sweep))
+			r.Sweep(startTime.Add(c.sweep))
 			assert.Equal(t, max(*count, 0), c.want)
 		})
 	}
 }
 
-func TestRepliesAreEvidence(t *testing.T) {
+func TestRepliesAreSignsOfLife(t *testing.T) {
 	r, count := newRoster()
-	hear(t, r, 0, 0, announcement(1, false))
-	r.RecordReply(start.Add(2*time.Second), "s", 1, false)
-	r.Sweep(start.Add(4 * time.Second))
+	announce(t, r, 0, 0, announcement(1, false))
+	r.RecordReply(startTime.Add(2*time.Second), "s", 1, false)
+	r.Sweep(startTime.Add(4 * time.Second))
 	assert.Equal(t, *count, 1)
-	r.RecordReply(start.Add(4*time.Second), "s", 1, true)
-	assert.Equal(t, *count, 0, "a reply that says it leaves is passed over")
+	r.RecordReply(startTime.Add(4*time.Second), "s", 1, true)
+	assert.Equal(t, *count, 0, "usable after a reply that says it is leaving")
 }
 
-// What was heard from a peer isn't passed on: news would go round for ever and
-// keep a dead backend server alive.
-func TestOnlyDirectNewsAreShared(t *testing.T) {
+// Guards against announcements circulating between entries, which would keep a dead
+// backend server usable.
+func TestOnlyDirectAnnouncementsAreShared(t *testing.T) {
 	r, _ := newRoster()
-	assert.NilError(t, r.Announce(start, announcement(1, false), 0, false))
-	assert.Equal(t, len(r.DirectAnnouncements(start)), 0)
-	hear(t, r, 0, 0, announcement(1, false))
-	assert.Equal(t, len(r.DirectAnnouncements(start)), 1)
-	assert.Equal(t, len(r.DirectAnnouncements(start.Add(limit+time.Second))), 0)
+	assert.NilError(t, r.Announce(startTime, announcement(1, false), 0, false))
+	assert.Equal(t, len(r.DirectAnnouncements(startTime)), 0)
+	announce(t, r, 0, 0, announcement(1, false))
+	assert.Equal(t, len(r.DirectAnnouncements(startTime)), 1)
+	assert.Equal(t, len(r.DirectAnnouncements(startTime.Add(limit+time.Second))), 0)
 }
 
-func TestImpossibleAnnouncements(t *testing.T) {
+func TestInvalidAnnouncements(t *testing.T) {
 	cases := []struct {
 		field  string
 		change func(*wire.Announcement)
@@ -122,14 +121,14 @@
 			r, count := newRoster()
 			a := proto.Clone(announcement(1, false)).(*wire.Announcement)
 			c.change(a)
-			err := r.Announce(start, a, 0, true)
+			err := r.Announce(startTime, a, 0, true)
 			assert.ErrorIs(t, err, roster.ErrInvalidAnnouncement)
 			assert.ErrorContains(t, err, c.field)
 			assert.Equal(t, *count, -1)
 		})
 	}
-	t.Run("none at all", func(t *testing.T) {
+	t.Run("nil", func(t *testing.T) {
 		r, _ := newRoster()
-		assert.ErrorIs(t, r.Announce(start, nil, 0, true), roster.ErrInvalidAnnouncement)
+		assert.ErrorIs(t, r.Announce(startTime, nil, 0, true), roster.ErrInvalidAnnouncement)
 	})
 }
--- a/internal/fleet/slots/slots.go
+++ b/internal/fleet/slots/slots.go
@@ -1,10 +1,9 @@
-// This file defines how entries divide a backend server's slots.
+// This file defines Divider, which divides a backend server's slots among entries.
 
-// Package slots divides the slots of backend servers among entries without a
-// message between them: every slot belongs to the entry with the highest hash
-// for it (rendezvous hashing), so that entries with the same view of each
-// other never use more than there are, and a change of entries moves only the
-// slots of those that came or went.
+// Package slots divides the slots of backend servers among entries without communication.
+// Every slot belongs to the entry with the highest hash for it (rendezvous hashing).
+// Entries with the same view of each other never use more slots than exist, and a change
+// of entries moves only the slots of the added and removed ones.
 package slots
 
 import (
@@ -15,14 +14,14 @@
 )
 
 type (
-	// previousView is a view that may still be in force at other entries.
+	// previousView is a list of entries that other entries may still use.
 	previousView struct {
 		entries []string
 		until   time.Time
 	}
 
-	// Divider gives an entry's part of slots. The zero value owns nothing. It
-	// is immutable; WithEntries gives its successor.
+	// Divider computes an entry's share of slots. It is immutable. The zero value has no
+	// share.
 	Divider struct {
 		self       string
 		entries    []string
@@ -31,25 +30,25 @@
 	}
 )
 
-// WithEntries returns the divider for a new view of the entries, from now on.
-// What the new view takes away is gone at once. What it adds counts only after
-// the settling time, within which the others learn of the change: a slot may
-// be used only by the entry that owned it in every view of that time.
-func (d Divider) WithEntries(self string, entries []string, now time.Time, settling time.Duration) Divider {
-	next := Divider{self: self, entries: entries, settleTime: settling}
+// WithEntries returns the divider for a new list of entries, valid from now on. Slots that
+// the new list takes away are lost immediately. Slots that it adds may be used only after
+// settleTime, within which the other entries learn of the change: a slot may be used only
+// by the entry that owns it in all lists of that time.
+func (d Divider) WithEntries(self string, entries []string, now time.Time, settleTime time.Duration) Divider {
+	next := Divider{self: self, entries: entries, settleTime: settleTime}
 	for _, p := range d.previous {
 		if now.Before(p.until) {
 			next.previous = append(next.previous, p)
 		}
 	}
-	next.previous = append(next.previous, previousView{d.entries, now.Add(settling)})
+	next.previous = append(next.previous, previousView{d.entries, now.Add(settleTime)})
 	return next
 }
 
-// Entries is the present view.
+// Entries returns the current list of entries.
 func (d Divider) Entries() []string { return d.entries }
 
-// Settled tells whether all slots of the present view may be used.
+// Settled reports whether all slots of the current list may be used.
 func (d Divider) Settled(now time.Time) bool {
 	for _, p := range d.previous {
 		if now.Before(p.until) {
@@ -59,15 +58,15 @@
 	return true
 }
 
-// Share returns how many of a backend server's slots this entry may use.
+// Share returns the number of a backend server's slots that this entry may use.
 func (d Divider) Share(server string, slots uint32, now time.Time) int {
-	part := 0
+	share := 0
 	for slot := range slots {
 		if d.owns(server, slot, now) {
-			part++
+			share++
 		}
 	}
-	return part
+	return share
 }
 
 func (d Divider) owns(server string, slot uint32, now time.Time) bool {
--- a/internal/fleet/slots/slots_test.go
+++ b/internal/fleet/slots/slots_test.go
@@ -1,4 +1,4 @@
-// This file defines the tests of how slots are divided.
+// This file defines tests of the division of slots.
 
 package slots_test
 
@@ -13,26 +13,24 @@
 	"sycamoredeck.example/internal/fleet/slots"
 )
 
-const settling = time.Second
+const settleTime = time.Second
 
-// Symptom: a backend server gets more requests at once than it has slots.
-// Sequence: entries come and go, and each learns of it at another moment
-// within the settling time. At every moment the parts of all entries must add
-// up to the slots at most.
-func TestPartsNeverExceedTheSlots(t *testing.T) {
+// Guards against entries using more slots than a backend server has, while each learns of
+// a change at another time within settleTime.
+func TestSharesNeverExceedSlots(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		ids := []string{"e0", "e1", "e2", "e3", "e4"}
 		dividers := map[string]slots.Divider{}
 		now := time.Unix(1000, 0)
 		for range rapid.IntRange(1, 12).Draw(rt, "changes") {
-			view := ids[:rapid.IntRange(1, len(ids)).Draw(rt, "entries")]
-			// Each entry learns the view within the settling time, and none
-			// learns the next one before all know this one.
+			entries := ids[:rapid.IntRange(1, len(ids)).Draw(rt, "entries")]
+			// Each entry learns of the change within settleTime, and none learns of the
+			// next one before all know this one.
 			at := now
 			for _, id := range rapid.Permutation(ids).Draw(rt, "order") {
 				at = at.Add(time.Duration(rapid.IntRange(0, 180).Draw(rt, "ms")) * time.Millisecond)
-				if contains(view, id) {
-					dividers[id] = dividers[id].WithEntries(id, view, at, settling)
+				if contains(entries, id) {
+					dividers[id] = dividers[id].WithEntries(id, entries, at, settleTime)
 				} else {
 					delete(dividers, id)
 				}
@@ -43,9 +41,9 @@
 		}
 		total := 0
 		for _, d := range dividers {
-			total += d.Share("server", 8, now.Add(settling))
+			total += d.Share("server", 8, now.Add(settleTime))
 		}
-		assert.Equal(rt, total, 8, "slots lie idle after the change has settled")
+		assert.Equal(rt, total, 8, "unused slots after settleTime")
 	})
 }
 
@@ -69,8 +67,8 @@
 	}
 }
 
-// Over many backend servers each entry has about the same part.
-func TestPartsAreEven(t *testing.T) {
+// Summed over many backend servers, all entries have similar shares.
+func TestSharesAreEven(t *testing.T) {
 	var ids []string
 	for i := range 9 {
 		ids = append(ids, fmt.Sprint("entry-", i))
@@ -86,6 +84,6 @@
 	}
 }
 
-func TestZeroValueOwnsNothing(t *testing.T) {
+func TestZeroValueHasNoShare(t *testing.T) {
 	assert.Equal(t, slots.Divider{}.Share("server", 8, time.Now()), 0)
 }
