--- a/internal/run/entry/hear.go
+++ b/internal/run/entry/announce.go
@@ -1,4 +1,4 @@
-// This file defines how entries hear backend servers and tell each other.
+// This file defines how entries receive announcements of backend servers and share them.
 
 package entry
 
@@ -17,8 +17,8 @@
 )
 
 const (
-	// shareInterval is how often an entry tells the others what it has heard;
-	// news goes out at once.
+	// shareInterval is how often an entry shares the announcements it has received. New
+	// and leaving backend servers are shared immediately.
 	shareInterval = 300 * time.Millisecond
 	shareTimeout  = time.Second
 )
@@ -34,8 +34,8 @@
 		*Entry
 	}
 
-	// sharer passes on what this entry has heard itself to each other entry.
-	// A slow or silent one holds up no other.
+	// sharer sends the announcements made to this entry to all other entries. Requests to
+	// different entries are independent of each other.
 	sharer struct {
 		entry    *Entry
 		mu       sync.Mutex
@@ -50,7 +50,7 @@
 	_ wire.EntryServiceServer    = (*entryService)(nil)
 )
 
-// Announce hears one backend server until its stream ends.
+// Announce serves the stream of one backend server.
 func (s *announceService) Announce(stream grpc.BidiStreamingServer[wire.AnnounceRequest, wire.AnnounceResponse]) error {
 	received := make(chan error, 1)
 	go func() { received <- s.receiveAnnouncements(stream) }()
@@ -85,13 +85,12 @@
 	}
 }
 
-// ShareRoster takes what another entry has heard. What can't be right is
-// passed over, and the rest kept.
+// ShareRoster records the announcements made to another entry. Invalid ones are ignored.
 func (s *entryService) ShareRoster(_ context.Context, r *wire.ShareRosterRequest) (*wire.ShareRosterResponse, error) {
 	now := s.clock.Now()
 	for _, h := range r.Heard {
 		if age := h.GetAge().AsDuration(); age >= 0 {
-			_ = s.roster.Announce(now, h.Announcement, age, false) // counted there
+			_ = s.roster.Announce(now, h.Announcement, age, false) // counts invalid ones
 		}
 	}
 	return &wire.ShareRosterResponse{}, nil
@@ -102,7 +101,7 @@
 	return s.pending
 }
 
-// flushSoon shares at once instead of at the next interval.
+// flushSoon shares immediately instead of at the next interval.
 func (s *sharer) flushSoon() {
 	select {
 	case s.pendingSignal() <- struct{}{}:
@@ -120,11 +119,11 @@
 		case <-ticker.Chan():
 		case <-s.pendingSignal():
 		}
-		heard := s.entry.roster.DirectAnnouncements(s.entry.clock.Now())
-		if len(heard) == 0 {
+		announcements := s.entry.roster.DirectAnnouncements(s.entry.clock.Now())
+		if len(announcements) == 0 {
 			continue
 		}
-		request := &wire.ShareRosterRequest{EntryId: s.entry.settings.Common.InstanceId, Heard: heard}
+		request := &wire.ShareRosterRequest{EntryId: s.entry.settings.Common.InstanceId, Heard: announcements}
 		for _, e := range s.entry.uplink.Entries() {
 			if e.EntryId != request.EntryId && s.tryBegin(e.Address) {
 				go s.send(ctx, e.Address, request)
@@ -133,6 +132,7 @@
 	}
 }
 
+// tryBegin reports whether no request to the address is in flight, and marks one.
 func (s *sharer) tryBegin(address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,6 +158,6 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, shareTimeout)
 	defer cancel()
-	// Lost news are followed by newer ones within the interval.
+	// Lost announcements are sent again at the next interval.
 	_, _ = wire.NewEntryServiceClient(conn).ShareRoster(ctx, r)
 }
--- a/internal/run/entry/entry.go
+++ b/internal/run/entry/entry.go
@@ -1,7 +1,7 @@
-// This file defines Entry, its start and its stop.
+// This file defines Entry, its startup and its shutdown.
 
-// Package entry is the entry process: it takes callers' requests, operators'
-// commands, the announcements of backend servers and the reports of workers.
+// Package entry implements the entry process. It serves callers and operators, and
+// receives the announcements of backend servers and the reports of workers.
 package entry
 
 import (
@@ -34,12 +34,12 @@
 )
 
 const (
-	// sweepInterval is how often evidence and waiting calls are looked at.
+	// sweepInterval is how often backend servers and waiting calls are checked for expiry.
 	sweepInterval = 50 * time.Millisecond
-	// settleTime is the time within which the other entries have surely seen a
-	// change of entries: two hellos and some.
+	// settleTime is the time within which all entries learn of a change of entries, which
+	// takes up to two hellos.
 	settleTime = time.Second
-	// messageOverhead is what a message may have beside its payload.
+	// messageOverhead bounds the size of a message beyond its payload.
 	messageOverhead      = 64 << 10
 	housekeepingInterval = time.Second
 )
@@ -47,13 +47,12 @@
 // Platform connects an entry with clients that don't speak its gRPC interface.
 // The zero value connects with none.
 type Platform struct {
-	// Serve starts to serve clients from a desk, and tells the platform's
-	// balancer whether the entry is ready. It returns how to stop, which waits
-	// for what is under way.
+	// Serve starts serving clients through a Desk, and reports to the platform's load
+	// balancer whether the entry is ready. The returned stop waits for calls in flight.
 	Serve func(s *wire.EntrySettings, d desk.Desk, ready func() bool) (stop func(), err error)
 }
 
-// Entry is one running entry process.
+// Entry is a running entry process.
 type Entry struct {
 	platform Platform
 	reloads  <-chan *wire.EntrySettings
@@ -74,7 +73,7 @@
 	closing  chan struct{}
 }
 
-// Run serves until the context ends, then finishes what is in flight.
+// Run serves until the context ends, and then drains.
 func Run(ctx context.Context, settings *wire.EntrySettings, logger *slog.Logger, platform Platform, reloads <-chan *wire.EntrySettings) error {
 	e := &Entry{platform: platform, reloads: reloads, settings: settings, logger: logger, clock: clockwork.NewRealClock(), closing: make(chan struct{})}
 	flush, err := spans.StartExport(ctx, "entry", settings.Common)
@@ -100,27 +99,27 @@
 	return e.serve(ctx, listener, stopPlatform)
 }
 
-// controlAddresses are those at which the settings say that control replicas
-// serve.
+// controlAddresses returns the addresses of control replicas in the settings.
 func controlAddresses(s *wire.EntrySettings) []string {
 	return append(setup.SeedAddresses(s.Seeds), s.ControlAddresses...)
 }
 
-// watchSettings takes over the control replicas that settings read anew name.
-// All else holds from the next start on.
+// watchSettings applies the control addresses of reloaded settings. Other changes take
+// effect at the next start.
 func (e *Entry) watchSettings(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case fresh := <-e.reloads:
-			addresses := controlAddresses(fresh)
+		case settings := <-e.reloads:
+			addresses := controlAddresses(settings)
 			e.uplink.SetAddresses(addresses)
-			e.logger.Info("settings taken", "control", addresses)
+			e.logger.Info("settings reloaded", "control", addresses)
 		}
 	}
 }
 
+// build creates the components of the entry and registers its services.
 func (e *Entry) build() {
 	common := e.settings.Common
 	e.pool.Options = link.Options{Traced: common.TraceEndpoint != "", SourceIP: common.SourceAddress}
@@ -159,8 +158,8 @@
 	wire.RegisterWorkServiceServer(e.server, &workService{desk: e.desk()})
 }
 
-// entriesChanged divides the slots anew, and again once the change has
-// settled.
+// entriesChanged divides the slots among the changed entries. sweep does so again once the
+// change has settled.
 func (e *Entry) entriesChanged(ids []string) {
 	next := e.divider.Load().WithEntries(e.settings.Common.InstanceId, ids, e.clock.Now(), settleTime)
 	e.divider.Store(&next)
@@ -193,9 +192,8 @@
 	return err
 }
 
-// drain stops without cutting anything off: the balancer is told first and
-// callers are still taken while it notices; then the port closes and what is
-// in flight is finished.
+// drain shuts down gracefully: it serves new calls until the load balancer has noticed
+// that the entry isn't ready, then stops listening and completes the calls in flight.
 func (e *Entry) drain(stopPlatform func()) {
 	e.logger.Info("draining")
 	e.draining.Store(true)
@@ -212,12 +210,12 @@
 	select {
 	case <-stopped:
 	case <-e.clock.After(e.settings.Common.DrainTimeout.AsDuration()):
-		e.logger.Warn("calls in flight outlasted the drain timeout")
+		e.logger.Warn("drain timeout exceeded, aborting calls in flight")
 		e.server.Stop()
 	}
 }
 
-// setReady tells the balancer, by HTTP and by gRPC.
+// setReady reports the readiness to the load balancer, by HTTP and gRPC.
 func (e *Entry) setReady(ready bool) {
 	if e.admin.Ready() == ready {
 		return
@@ -231,12 +229,13 @@
 	e.logger.Info("readiness changed", "ready", ready)
 }
 
-// sweep does what time alone makes due.
+// sweep periodically removes expired backend servers and waiting calls, and updates the
+// slots and the readiness.
 func (e *Entry) sweep(ctx context.Context) {
 	ticker := e.clock.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	settled, hadSlots := true, false
-	lastSecond := e.clock.Now()
+	lastHousekeeping := e.clock.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -246,16 +245,16 @@
 		now := e.clock.Now()
 		e.roster.Sweep(now)
 		e.calls.Shed()
-		if s := e.divider.Load().Settled(now); s != settled {
-			settled = s
-			hadSlots = hadSlots || (s && len(e.divider.Load().Entries()) > 0)
+		if settledNow := e.divider.Load().Settled(now); settledNow != settled {
+			settled = settledNow
+			hadSlots = hadSlots || (settledNow && len(e.divider.Load().Entries()) > 0)
 			e.calls.Resize()
 		}
-		// Until its first slots are settled an entry could only refuse.
+		// Before its first slots have settled an entry would reject all calls.
 		ready := hadSlots && e.uplink.Configuration() != nil && e.uplink.HasQuorum() && !e.draining.Load()
 		e.setReady(ready)
-		if now.Sub(lastSecond) >= housekeepingInterval {
-			lastSecond = now
+		if now.Sub(lastHousekeeping) >= housekeepingInterval {
+			lastHousekeeping = now
 			e.uplink.CountQuorumLoss()
 			e.pool.Retain(e.uplink.Addresses())
 		}
--- a/internal/run/entry/pass.go
+++ b/internal/run/entry/forward.go
@@ -1,4 +1,4 @@
-// This file defines how an entry passes jobs and operators' calls to the leader.
+// This file defines how an entry forwards job and operator calls to the leader.
 
 package entry
 
@@ -17,7 +17,7 @@
 )
 
 const (
-	// forwardTimeout bounds calls that come without a deadline.
+	// forwardTimeout bounds calls without a deadline.
 	forwardTimeout     = 30 * time.Second
 	watchRetryInterval = 50 * time.Millisecond
 )
@@ -39,7 +39,7 @@
 	_ wire.OperatorServiceServer = (*operatorService)(nil)
 )
 
-// forward asks the leader by one method of a client.
+// forward calls a method of a client of the leader.
 func forward[C, Q, R any](ctx context.Context, e *Entry, client func(grpc.ClientConnInterface) C, method func(C, context.Context, Q, ...grpc.CallOption) (R, error), request Q) (R, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
@@ -48,8 +48,8 @@
 	})
 }
 
-// Submit passes a job on. It may be tried at several leaders, which the
-// idempotency key makes harmless.
+// Submit forwards a job to the leader. The idempotency key allows the call to be repeated
+// after a leader change.
 func (s *jobService) Submit(ctx context.Context, r *wire.SubmitRequest) (*wire.SubmitResponse, error) {
 	if r.IdempotencyKey == "" {
 		return nil, status.Error(codes.InvalidArgument, "IdempotencyKey must have 1 to 128 bytes")
@@ -57,22 +57,22 @@
 	return forward(ctx, s.Entry, wire.NewJobServiceClient, wire.JobServiceClient.Submit, r)
 }
 
-// Get passes the question on.
+// Get forwards the call to the leader.
 func (s *jobService) Get(ctx context.Context, r *wire.GetRequest) (*wire.GetResponse, error) {
 	return forward(ctx, s.Entry, wire.NewJobServiceClient, wire.JobServiceClient.Get, r)
 }
 
-// List passes the question on.
+// List forwards the call to the leader.
 func (s *jobService) List(ctx context.Context, r *wire.ListRequest) (*wire.ListResponse, error) {
 	return forward(ctx, s.Entry, wire.NewJobServiceClient, wire.JobServiceClient.List, r)
 }
 
-// Cancel passes the cancellation on; twice is as good as once.
+// Cancel forwards the call to the leader. It is idempotent.
 func (s *jobService) Cancel(ctx context.Context, r *wire.CancelRequest) (*wire.CancelResponse, error) {
 	return forward(ctx, s.Entry, wire.NewJobServiceClient, wire.JobServiceClient.Cancel, r)
 }
 
-// Watch follows a job across changes of leader.
+// Watch watches a job across leader changes.
 func (s *jobService) Watch(r *wire.WatchRequest, stream grpc.ServerStreamingServer[wire.WatchResponse]) error {
 	for {
 		err := s.watchOnce(r, stream)
@@ -112,8 +112,8 @@
 	}
 }
 
-// ApplyConfiguration passes a configuration on. It may be tried at several
-// leaders, which the operation id makes harmless.
+// ApplyConfiguration forwards a configuration to the leader. The operation ID allows the
+// call to be repeated after a leader change.
 func (s *operatorService) ApplyConfiguration(ctx context.Context, r *wire.ApplyConfigurationRequest) (*wire.ApplyConfigurationResponse, error) {
 	if r.OperationId == "" {
 		return nil, status.Error(codes.InvalidArgument, "OperationId must have 1 to 128 bytes")
@@ -121,43 +121,43 @@
 	return forward(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.ApplyConfiguration, r)
 }
 
-// GetConfiguration passes the question on.
+// GetConfiguration forwards the call to the leader.
 func (s *operatorService) GetConfiguration(ctx context.Context, r *wire.GetConfigurationRequest) (*wire.GetConfigurationResponse, error) {
 	return forward(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.GetConfiguration, r)
 }
 
-// ListConfigurationHistory passes the question on.
+// ListConfigurationHistory forwards the call to the leader.
 func (s *operatorService) ListConfigurationHistory(ctx context.Context, r *wire.ListConfigurationHistoryRequest) (*wire.ListConfigurationHistoryResponse, error) {
 	return forward(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.ListConfigurationHistory, r)
 }
 
-// ListBackendServers tells what this entry knows.
+// ListBackendServers returns the backend servers known to this entry.
 func (s *operatorService) ListBackendServers(context.Context, *wire.ListBackendServersRequest) (*wire.ListBackendServersResponse, error) {
 	return &wire.ListBackendServersResponse{BackendServers: s.roster.List(s.clock.Now())}, nil
 }
 
-// ListWorkers passes the question on.
+// ListWorkers forwards the call to the leader.
 func (s *operatorService) ListWorkers(ctx context.Context, r *wire.ListWorkersRequest) (*wire.ListWorkersResponse, error) {
 	return forward(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.ListWorkers, r)
 }
 
-// QuarantineWorker passes the order on; twice is as good as once.
+// QuarantineWorker forwards the call to the leader. It is idempotent.
 func (s *operatorService) QuarantineWorker(ctx context.Context, r *wire.QuarantineWorkerRequest) (*wire.QuarantineWorkerResponse, error) {
 	return forward(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.QuarantineWorker, r)
 }
 
-// ListControlMembers passes the question on.
+// ListControlMembers forwards the call to the leader.
 func (s *operatorService) ListControlMembers(ctx context.Context, r *wire.ListControlMembersRequest) (*wire.ListControlMembersResponse, error) {
 	return forward(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.ListControlMembers, r)
 }
 
-// ChangeControlMember passes the change on; each of its steps is skipped when
-// an earlier try has taken it.
+// ChangeControlMember forwards the call to the leader. A repeated call skips the steps
+// that an earlier one has completed.
 func (s *operatorService) ChangeControlMember(ctx context.Context, r *wire.ChangeControlMemberRequest) (*wire.ChangeControlMemberResponse, error) {
 	return forward(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.ChangeControlMember, r)
 }
 
-// GetStatus passes the question on.
+// GetStatus forwards the call to the leader.
 func (s *operatorService) GetStatus(ctx context.Context, r *wire.GetStatusRequest) (*wire.GetStatusResponse, error) {
 	return forward(ctx, s.Entry, wire.NewOperatorServiceClient, wire.OperatorServiceClient.GetStatus, r)
 }
--- a/internal/run/entry/desk.go
+++ b/internal/run/entry/work.go
@@ -1,4 +1,4 @@
-// This file defines how an entry has jobs of steps dealt with by the leader.
+// This file defines how an entry forwards WorkService calls to the leader.
 
 package entry
 
@@ -21,7 +21,7 @@
 	workSeconds    = metrics.NewHistogram("sycamoredeck_work_request_seconds")
 )
 
-// workService serves jobs of steps by gRPC, as the desk does for the platform.
+// workService implements WorkService for gRPC clients.
 type workService struct {
 	wire.UnimplementedWorkServiceServer
 	desk desk.Desk
@@ -29,44 +29,43 @@
 
 var _ wire.WorkServiceServer = (*workService)(nil)
 
-// SubmitWork has the leader take a job.
+// SubmitWork forwards the call to the leader.
 func (s *workService) SubmitWork(ctx context.Context, r *wire.SubmitWorkRequest) (*wire.SubmitWorkResponse, error) {
 	return s.desk.Submit(ctx, r)
 }
 
-// InspectWork asks the leader about a job or a queue.
+// InspectWork forwards the call to the leader.
 func (s *workService) InspectWork(ctx context.Context, r *wire.InspectWorkRequest) (*wire.InspectWorkResponse, error) {
 	return s.desk.Inspect(ctx, r)
 }
 
-// CancelWork has the leader cancel a job.
+// CancelWork forwards the call to the leader.
 func (s *workService) CancelWork(ctx context.Context, r *wire.CancelWorkRequest) (*wire.CancelWorkResponse, error) {
 	return s.desk.Cancel(ctx, r)
 }
 
-// PutCatalog has the leader put a catalog in force.
+// PutCatalog forwards the call to the leader.
 func (s *workService) PutCatalog(ctx context.Context, r *wire.PutCatalogRequest) (*wire.PutCatalogResponse, error) {
 	return s.desk.PutCatalog(ctx, r)
 }
 
-// GetCatalog asks the leader for the catalog in force.
+// GetCatalog forwards the call to the leader.
 func (s *workService) GetCatalog(ctx context.Context, r *wire.GetCatalogRequest) (*wire.GetCatalogResponse, error) {
 	return s.desk.GetCatalog(ctx, r)
 }
 
-// DrainDomain has the leader keep new work out of a failure domain, or restore it.
+// DrainDomain forwards the call to the leader.
 func (s *workService) DrainDomain(ctx context.Context, r *wire.DrainDomainRequest) (*wire.DrainDomainResponse, error) {
 	return s.desk.Drain(ctx, r)
 }
 
-// ListDomains asks the leader which failure domains there are.
+// ListDomains forwards the call to the leader.
 func (s *workService) ListDomains(ctx context.Context, r *wire.ListDomainsRequest) (*wire.ListDomainsResponse, error) {
 	return s.desk.Domains(ctx, r)
 }
 
-// desk has the leader deal with clients of the platform, and the next leader
-// while it changes. Each change that a client asks for, and each request that
-// isn't answered, gives a log line.
+// desk returns a Desk that calls the leader across leader changes. It logs each request
+// that changes a job and each request that isn't answered.
 func (e *Entry) desk() desk.Desk {
 	d := desk.Over(func(ctx context.Context, once func(context.Context, desk.Conn) error) error {
 		_, err := uplink.CallLeader(ctx, e.uplink, struct{}{}, func(ctx context.Context, conn *grpc.ClientConn, _ struct{}) (struct{}, error) {
@@ -98,6 +97,7 @@
 	return d
 }
 
+// recordWork records the metrics and the log line of a request.
 func (e *Entry) recordWork(call string, target *wire.WorkTarget, answer wire.WorkAnswer, began time.Time, err error) {
 	took := e.clock.Now().Sub(began)
 	workSeconds.Update(took.Seconds())
