--- a/internal/run/ctrl/ctrl.go
+++ b/internal/run/ctrl/ctrl.go
@@ -34,67 +34,67 @@
 )
 
 const (
-	// announceInterval is how often a replica that isn't a member asks to be
+	// joinRequestInterval is how often a replica that isn't a member asks to be
 	// let in.
-	announceInterval = time.Second
-	// handoverWait bounds how long a stopping leader waits for a successor.
-	handoverWait = 3 * time.Second
-	handoverPoll = 20 * time.Millisecond
+	joinRequestInterval = time.Second
+	// leadershipTransferTimeout bounds how long a stopping leader waits for a successor.
+	leadershipTransferTimeout = 3 * time.Second
+	leadershipTransferPoll    = 20 * time.Millisecond
 )
 
 type (
 	// view is what other goroutines may know of the loop, renewed each turn.
 	view struct {
-		leads   bool
-		leader  string // advertised address, or empty
-		term    uint64
-		version uint64
-		members []*wire.ControlMember
+		isLeader bool
+		leader   string // advertised address, or empty
+		term     uint64
+		version  uint64
+		members  []*wire.ControlMember
 		// drained are the failure domains that get no new work, as of drains.
-		drained []string
-		drains  uint64
-		// safe tells that enough replicas vote to survive the losses that the
+		drained       []string
+		drainRevision uint64
+		// faultTolerant tells that enough replicas vote to survive the losses that the
 		// settings name.
-		safe bool
+		faultTolerant bool
 		// changed is closed when a newer view takes its place.
 		changed chan struct{}
 	}
 
 	// Control is one running control process.
 	Control struct {
-		settings *wire.ControlSettings
-		logger   *slog.Logger
-		clock    clockwork.Clock
-		self     *wire.ControlMember
-		pool     link.Pool
-		founder  *peers.Bootstrapper
-		carrier  *peers.Transport
-		admin    admin.Server
-		log      *walog.Log
-		node     *node.Node
-		machine  *state.Machine
-		planner  *plan.Planner
-		platform Platform
-		engine   *drive.Engine
-		server   *grpc.Server
-		view     atomic.Pointer[view]
-		entries  entryTable
-		watchers watchTable
-		failed   chan error
+		settings     *wire.ControlSettings
+		logger       *slog.Logger
+		clock        clockwork.Clock
+		self         *wire.ControlMember
+		pool         link.Pool
+		bootstrapper *peers.Bootstrapper
+		transport    *peers.Transport
+		admin        admin.Server
+		log          *walog.Log
+		node         *node.Node
+		machine      *state.Machine
+		planner      *plan.Planner
+		platform     Platform
+		engine       *drive.Engine
+		server       *grpc.Server
+		view         atomic.Pointer[view]
+		entries      entryTable
+		watchers     watchTable
+		failed       chan error
 		// running is set once node may be used by other goroutines.
 		running atomic.Bool
 
-		// seenMembers is the membership the view was made from.
-		seenMembers *wire.Membership
-		// membershipAt is when the membership was last looked after.
-		membershipAt time.Time
-		// drivenTerm is the last term in which driving agents could begin; of
+		// publishedMembers is the membership the view was made from.
+		publishedMembers *wire.Membership
+		// membershipReconciledAt is when the membership was last looked after.
+		membershipReconciledAt time.Time
+		// engineTerm is the last term in which driving agents could begin; of
 		// the loop.
-		drivenTerm uint64
-		// waking is set while a turn is on order; of the loop.
-		waking     bool
-		closing    chan struct{}
-		background sync.WaitGroup
+		engineTerm uint64
+		// tickScheduled is set while a turn is on order; of the loop.
+		tickScheduled bool
+		closing       chan struct{}
+		background    sync.WaitGroup
 	}
 )
 
@@ -142,7 +142,7 @@
 	if durable.TornBytes > 0 {
 		c.logger.Warn("cut off an unfinished write", "bytes", durable.TornBytes)
 	}
-	if err := c.identify(durable); err != nil {
+	if err := c.loadIdentity(durable); err != nil {
 		return err
 	}
 	listener, err := net.Listen("tcp", c.settings.Common.ListenAddress)
@@ -150,20 +150,20 @@
 		return trace.ConvertSystemError(err)
 	}
 	c.view.Store(&view{changed: make(chan struct{})})
-	go c.followSettings(ctx, reloads)
+	go c.watchSettings(ctx, reloads)
 	c.register()
 	go c.server.Serve(listener)
 	if err := c.admin.Start(c.settings.Common.AdminAddress); err != nil {
 		return err
 	}
-	if err := c.found(ctx, durable); err != nil {
+	if err := c.bootstrap(ctx, durable); err != nil {
 		return err
 	}
 	return c.startNode(durable)
 }
 
-// identify reads this replica's identity, or draws one for a new folder.
-func (c *Control) identify(durable *walog.DurableState) error {
+// loadIdentity reads this replica's identity, or draws one for a new folder.
+func (c *Control) loadIdentity(durable *walog.DurableState) error {
 	if durable.Vote.GetReplicaId() == 0 {
 		id := rand.Uint64() | 1
 		durable.Vote = &wire.Vote{Term: durable.Vote.GetTerm(), VotedFor: durable.Vote.GetVotedFor(), ReplicaId: id}
@@ -174,12 +174,12 @@
 	common := c.settings.Common
 	c.pool.Options = link.Options{Traced: common.TraceEndpoint != "", SourceIP: common.SourceAddress}
 	c.self = &wire.ControlMember{Name: common.InstanceId, Address: setup.AdvertisedAddress(common), ReplicaId: durable.Vote.ReplicaId}
-	c.founder = &peers.Bootstrapper{Self: c.self, Pool: &c.pool, JoinOnly: c.settings.FirstStart == "false"}
+	c.bootstrapper = &peers.Bootstrapper{Self: c.self, Pool: &c.pool, JoinOnly: c.settings.FirstStart == "false"}
 	for _, text := range c.settings.FoundingMembers {
 		name, address, _ := strings.Cut(text, "=")
-		c.founder.InitialMembers = append(c.founder.InitialMembers, &wire.ControlMember{Name: name, Address: address})
+		c.bootstrapper.InitialMembers = append(c.bootstrapper.InitialMembers, &wire.ControlMember{Name: name, Address: address})
 	}
-	c.founder.InitialMembers = append(c.founder.InitialMembers, seedMembers(c.settings)...)
+	c.bootstrapper.InitialMembers = append(c.bootstrapper.InitialMembers, seedMembers(c.settings)...)
 	return nil
 }
 
@@ -192,25 +192,25 @@
 	return members
 }
 
-// followSettings takes over the seeds that settings read anew name, for a
+// watchSettings takes over the seeds that settings read anew name, for a
 // replica that still waits to be let in. All else holds from the next start on.
-func (c *Control) followSettings(ctx context.Context, reloads <-chan *wire.ControlSettings) {
+func (c *Control) watchSettings(ctx context.Context, reloads <-chan *wire.ControlSettings) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case fresh := <-reloads:
-			c.founder.SetSeeds(seedMembers(fresh))
+			c.bootstrapper.SetSeeds(seedMembers(fresh))
 			c.logger.Info("settings taken", "seeds", setup.SeedAddresses(fresh.Seeds))
 		}
 	}
 }
 
-func (c *Control) found(ctx context.Context, durable *walog.DurableState) error {
+func (c *Control) bootstrap(ctx context.Context, durable *walog.DurableState) error {
 	if durable.Snapshot != nil {
 		return nil
 	}
-	membership, err := c.founder.Bootstrap(ctx)
+	membership, err := c.bootstrapper.Bootstrap(ctx)
 	if err != nil {
 		return trace.Wrap(err, "founding the cluster")
 	}
@@ -227,16 +227,16 @@
 			c.watchers.notify(j)
 		},
 	})
-	c.carrier = &peers.Transport{Pool: &c.pool}
+	c.transport = &peers.Transport{Pool: &c.pool}
 	n, err := node.New(node.Options{
 		ID:                c.self.ReplicaId,
 		HeartbeatInterval: c.settings.HeartbeatInterval.AsDuration(),
 		ElectionTimeout:   c.settings.ElectionTimeout.AsDuration(),
 		SnapshotThreshold: uint64(c.settings.SnapshotRecords),
 		Clock:             c.clock, Logger: c.logger,
-		Send:           c.carrier.Send,
-		AfterIteration: c.turn,
-		Lookup:         c.founder.Lookup,
+		Send:           c.transport.Send,
+		AfterIteration: c.tick,
+		Lookup:         c.bootstrapper.Lookup,
 		OnDiskFailure:  func(err error) { c.failed <- err },
 	}, c.log, durable, c.machine)
 	if err != nil {
@@ -253,40 +253,40 @@
 	if err := c.startEngine(); err != nil {
 		return err
 	}
-	c.publish()
+	c.publishView()
 	c.running.Store(true)
 	go n.Run()
-	c.background.Go(c.announceLoop)
+	c.background.Go(c.requestJoinLoop)
 	return nil
 }
 
-// turn runs on the loop after each turn of the replica.
-func (c *Control) turn(now time.Time) {
+// tick runs on the loop after each turn of the replica.
+func (c *Control) tick(now time.Time) {
 	c.planner.Tick(now)
 	c.engine.Tick(boot.Now())
-	c.wakeLater()
-	c.tendMembership(now)
-	c.publish()
+	c.scheduleTick()
+	c.reconcileMembership(now)
+	c.publishView()
 }
 
-// publish renews the view when anything in it has changed.
-func (c *Control) publish() {
+// publishView renews the view when anything in it has changed.
+func (c *Control) publishView() {
 	status := c.node.Core().Status()
 	members := c.node.Core().Members()
 	_, leads := c.node.IsLeader()
 	old := c.view.Load()
 	version := c.machine.Configuration().Version
 	leader := addressOf(members, status.Leader)
-	safe := c.enoughVoters(members)
+	safe := c.hasEnoughVoters(members)
 	drained, drains := c.machine.Graph().DrainedDomains()
-	unchanged := old.drains == drains && old.leads == leads && old.term == status.Term && old.version == version && old.leader == leader && old.safe == safe
-	if unchanged && c.seenMembers == members {
+	unchanged := old.drainRevision == drains && old.isLeader == leads && old.term == status.Term && old.version == version && old.leader == leader && old.faultTolerant == safe
+	if unchanged && c.publishedMembers == members {
 		return
 	}
-	c.seenMembers = members
-	c.founder.SetMembership(members)
+	c.publishedMembers = members
+	c.bootstrapper.SetMembership(members)
 	c.admin.SetReady(leader != "")
-	c.view.Store(&view{leads: leads, leader: leader, term: status.Term, version: version, members: members.GetMembers(), drained: drained, drains: drains, safe: safe, changed: make(chan struct{})})
+	c.view.Store(&view{isLeader: leads, leader: leader, term: status.Term, version: version, members: members.GetMembers(), drained: drained, drainRevision: drains, faultTolerant: safe, changed: make(chan struct{})})
 	close(old.changed)
 }
 
@@ -299,10 +299,10 @@
 	return ""
 }
 
-// announceLoop makes a replica that has no place in the membership visible to
+// requestJoinLoop makes a replica that has no place in the membership visible to
 // the leader and to operators until it has one. One that was put out while it
 // was away doesn't know; it finds that it hears of no leader.
-func (c *Control) announceLoop() {
+func (c *Control) requestJoinLoop() {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	led := c.clock.Now()
@@ -310,7 +310,7 @@
 		select {
 		case <-c.closing:
 			return
-		case <-c.clock.After(announceInterval):
+		case <-c.clock.After(joinRequestInterval):
 		}
 		if c.view.Load().leader != "" {
 			led = c.clock.Now()
@@ -319,8 +319,8 @@
 		for _, m := range c.view.Load().members {
 			member = member || m.ReplicaId == c.self.ReplicaId
 		}
-		if !member || c.clock.Now().Sub(led) > lostTouch {
-			c.founder.RequestJoin(ctx)
+		if !member || c.clock.Now().Sub(led) > leaderTimeout {
+			c.bootstrapper.RequestJoin(ctx)
 		}
 	}
 }
@@ -328,7 +328,7 @@
 // stop hands leadership over, lets calls in flight finish and closes.
 func (c *Control) stop() {
 	c.admin.SetReady(false)
-	c.handOver()
+	c.transferLeadership()
 	close(c.closing)
 	stopped := make(chan struct{})
 	go func() {
@@ -343,15 +343,15 @@
 	<-stopped
 	c.background.Wait()
 	c.node.Stop()
-	c.carrier.Close()
+	c.transport.Close()
 	c.pool.Close()
 	c.admin.Close()
 	c.log.Close()
 	c.logger.Info("stopped")
 }
 
-func (c *Control) handOver() {
-	ctx, cancel := context.WithTimeout(context.Background(), handoverWait)
+func (c *Control) transferLeadership() {
+	ctx, cancel := context.WithTimeout(context.Background(), leadershipTransferTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		leads := false
@@ -363,6 +363,6 @@
 		if err != nil || !leads {
 			return
 		}
-		c.clock.Sleep(handoverPoll)
+		c.clock.Sleep(leadershipTransferPoll)
 	}
 }
--- a/internal/run/ctrl/domain.go
+++ b/internal/run/ctrl/domain.go
@@ -22,7 +22,7 @@
 	if err := graph.CheckDomain(r.FailureDomain); err != nil {
 		return &wire.DrainDomainResponse{Answer: wire.WorkAnswer_WORK_ANSWER_INVALID, Reason: err.Error()}, nil
 	}
-	if err := s.ready(); err != nil {
+	if err := s.checkReady(); err != nil {
 		return nil, err
 	}
 	answer := &wire.DrainDomainResponse{Answer: wire.WorkAnswer_WORK_ANSWER_DONE}
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	if result.Err != nil {
-		answer.Answer, answer.Reason = answerOf(result.Err), result.Err.Error()
+		answer.Answer, answer.Reason = answerForError(result.Err), result.Err.Error()
 		return answer, nil
 	}
 	if r.Restore {
@@ -64,7 +64,7 @@
 
 // ListDomains gives the failure domains that have agents or are drained.
 func (s *workService) ListDomains(ctx context.Context, _ *wire.ListDomainsRequest) (*wire.ListDomainsResponse, error) {
-	if err := s.ready(); err != nil {
+	if err := s.checkReady(); err != nil {
 		return nil, err
 	}
 	answer := &wire.ListDomainsResponse{}
--- a/internal/run/ctrl/entries.go
+++ b/internal/run/ctrl/entries.go
@@ -15,25 +15,25 @@
 )
 
 type (
-	heardEntry struct {
-		status *wire.EntryStatus
-		at     time.Time
+	entryRecord struct {
+		status   *wire.EntryStatus
+		lastSeen time.Time
 	}
 
 	// entryTable is the soft list of entries. The zero value is empty.
 	entryTable struct {
 		mu      sync.Mutex
-		entries map[string]heardEntry
+		entries map[string]entryRecord
 	}
 )
 
-func (t *entryTable) hear(e *wire.EntryStatus, now time.Time) {
+func (t *entryTable) record(e *wire.EntryStatus, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.entries == nil {
-		t.entries = map[string]heardEntry{}
+		t.entries = map[string]entryRecord{}
 	}
-	t.entries[e.EntryId] = heardEntry{e, now}
+	t.entries[e.EntryId] = entryRecord{e, now}
 }
 
 // list returns the entries heard lately, in the order of their ids.
@@ -42,8 +42,8 @@
 	defer t.mu.Unlock()
 	var list []*wire.EntryStatus
 	for id, e := range t.entries {
-		age := now.Sub(e.at)
-		if age > entryHeard {
+		age := now.Sub(e.lastSeen)
+		if age > entryTTL {
 			delete(t.entries, id)
 			continue
 		}
@@ -55,10 +55,10 @@
 	return list
 }
 
-// listUnless returns the entries and their digest, or the digest alone where it is the
+// listIfChanged returns the entries and their digest, or the digest alone where it is the
 // known one. With all entries in each answer, what entries and replicas tell each
 // other grows with the square of the entries.
-func (t *entryTable) listUnless(known uint64, now time.Time) ([]*wire.EntryStatus, uint64) {
+func (t *entryTable) listIfChanged(known uint64, now time.Time) ([]*wire.EntryStatus, uint64) {
 	digest := t.digest(now)
 	if digest == known {
 		return nil, digest
@@ -72,7 +72,7 @@
 	defer t.mu.Unlock()
 	sum := uint64(0)
 	for _, e := range t.entries {
-		if now.Sub(e.at) <= entryHeard {
+		if now.Sub(e.lastSeen) <= entryTTL {
 			// Added up, since a map has no order.
 			sum += xxhash.Sum64String(e.status.EntryId + "\x00" + e.status.Address + "\x00" + e.status.FailureDomain)
 		}
--- a/internal/run/ctrl/entries_test.go
+++ b/internal/run/ctrl/entries_test.go
@@ -18,11 +18,11 @@
 	now := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 	table := &entryTable{}
 	hear := func(id, address string, version uint64) {
-		table.hear(&wire.EntryStatus{EntryId: id, Address: address, ConfigurationVersion: version}, now)
+		table.record(&wire.EntryStatus{EntryId: id, Address: address, ConfigurationVersion: version}, now)
 	}
 	hear("a", "10.0.0.1:1", 1)
 	hear("b", "10.0.0.2:1", 1)
-	list, digest := table.listUnless(0, now)
+	list, digest := table.listIfChanged(0, now)
 	assert.Equal(t, len(list), 2)
 	cases := []struct {
 		name   string
@@ -33,13 +33,13 @@
 		{"heard again, with another version", func() { hear("a", "10.0.0.1:1", 2) }, 0},
 		{"a new one", func() { hear("c", "10.0.0.3:1", 2) }, 3},
 		{"one moved", func() { hear("b", "10.0.0.9:1", 2) }, 3},
-		{"all silent", func() { now = now.Add(2 * entryHeard) }, 0},
+		{"all silent", func() { now = now.Add(2 * entryTTL) }, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			c.change()
 			before := digest
-			list, digest = table.listUnless(before, now)
+			list, digest = table.listIfChanged(before, now)
 			assert.Equal(t, len(list), c.told)
 			assert.Assert(t, digest != 0)
 		})
--- a/internal/run/ctrl/jobs.go
+++ b/internal/run/ctrl/jobs.go
@@ -22,7 +22,7 @@
 const (
 	defaultListLimit = 100
 	maxListLimit     = 10000
-	maxCancelled     = 10000
+	maxCancelledJobs = 10000
 	// watchPoll is how often a watch looks whether this replica still leads.
 	watchPoll = time.Second
 )
@@ -45,7 +45,7 @@
 
 // Submit commits a job.
 func (s *jobService) Submit(ctx context.Context, r *wire.SubmitRequest) (*wire.SubmitResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
 	if err := checkSubmit(r, int(s.settings.MaxPayloadBytes)); err != nil {
@@ -57,10 +57,10 @@
 		JobId: uuid.NewString(), IdempotencyKey: r.IdempotencyKey, Spec: r.Spec,
 	}}})
 	if err == nil {
-		err = refused(result.Err)
+		err = refusalStatus(result.Err)
 	}
 	if err != nil {
-		return nil, turned(err)
+		return nil, statusError(err)
 	}
 	answer := &wire.SubmitResponse{Duplicate: result.Duplicate}
 	return answer, s.copyJob(ctx, result.Job.JobId, &answer.Job)
@@ -80,15 +80,15 @@
 
 // copyJob copies a job on the loop, since only there it may be read.
 func (s *jobService) copyJob(ctx context.Context, id string, into **wire.Job) error {
-	return turned(s.node.Do(ctx, func() {
+	return statusError(s.node.Do(ctx, func() {
 		if j := s.machine.Job(id); j != nil {
 			*into = proto.Clone(j).(*wire.Job)
 		}
 	}))
 }
 
-// refused makes a status of why the state refused a command.
-func refused(err error) error {
+// refusalStatus makes a status of why the state refused a command.
+func refusalStatus(err error) error {
 	switch {
 	case err == nil:
 		return nil
@@ -103,7 +103,7 @@
 
 // Get gives a job as of no earlier than the call.
 func (s *jobService) Get(ctx context.Context, r *wire.GetRequest) (*wire.GetResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
 	answer := &wire.GetResponse{}
@@ -113,7 +113,7 @@
 		}
 	})
 	if err != nil {
-		return nil, turned(err)
+		return nil, statusError(err)
 	}
 	if answer.Job == nil {
 		return nil, status.Errorf(codes.NotFound, "no such job: %q", r.JobId)
@@ -123,7 +123,7 @@
 
 // List gives jobs in submission order.
 func (s *jobService) List(ctx context.Context, r *wire.ListRequest) (*wire.ListResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
 	limit := int(r.Limit)
@@ -140,24 +140,24 @@
 			answer.Jobs = append(answer.Jobs, proto.Clone(j).(*wire.Job))
 		}
 	})
-	return answer, turned(err)
+	return answer, statusError(err)
 }
 
 // Cancel commits the cancellation of jobs. Running ones end once their worker
 // has stopped them.
 func (s *jobService) Cancel(ctx context.Context, r *wire.CancelRequest) (*wire.CancelResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
-	if len(r.JobIds) == 0 || len(r.JobIds) > maxCancelled {
-		return nil, status.Errorf(codes.InvalidArgument, "JobIds must have 1 to %d elements", maxCancelled)
+	if len(r.JobIds) == 0 || len(r.JobIds) > maxCancelledJobs {
+		return nil, status.Errorf(codes.InvalidArgument, "JobIds must have 1 to %d elements", maxCancelledJobs)
 	}
 	result, err := s.node.Commit(ctx, &wire.Command{Body: &wire.Command_CancelJobs{CancelJobs: &wire.CancelJobs{JobIds: r.JobIds}}})
 	if err == nil {
-		err = refused(result.Err)
+		err = refusalStatus(result.Err)
 	}
 	if err != nil {
-		return nil, turned(err)
+		return nil, statusError(err)
 	}
 	answer := &wire.CancelResponse{}
 	err = s.node.Do(ctx, func() {
@@ -167,12 +167,12 @@
 			}
 		}
 	})
-	return answer, turned(err)
+	return answer, statusError(err)
 }
 
 // Watch sends a job whenever it has changed, until it has ended.
 func (s *jobService) Watch(r *wire.WatchRequest, stream grpc.ServerStreamingServer[wire.WatchResponse]) error {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return err
 	}
 	wake, cancel := s.watchers.watch(r.JobId)
--- a/internal/run/ctrl/member.go
+++ b/internal/run/ctrl/membership.go
@@ -17,25 +17,25 @@
 	// maxMembers bounds voters and learners together. Learners beyond the
 	// voters only follow; each costs the leader its share of messages.
 	maxMembers = 9
-	// goneAfter is how long a voter is silent before one that stands by takes
+	// voterTimeout is how long a voter is silent before one that stands by takes
 	// its place: longer than a restart takes, shorter than the users let pass
 	// between two losses that count one by one (4 s after a replacement came).
-	goneAfter = 3 * time.Second
-	// lostTouch is how long a replica hears of no leader before it asks whether
+	voterTimeout = 3 * time.Second
+	// leaderTimeout is how long a replica hears of no leader before it asks whether
 	// it was put out.
-	lostTouch = 3 * time.Second
+	leaderTimeout = 3 * time.Second
 )
 
-// enoughVoters tells whether all that is acknowledged survives the losses that
+// hasEnoughVoters tells whether all that is acknowledged survives the losses that
 // the settings name. Before that nothing may be acknowledged.
-func (c *Control) enoughVoters(m *wire.Membership) bool {
+func (c *Control) hasEnoughVoters(m *wire.Membership) bool {
 	if c.settings.ToleratedLosses == 0 {
 		return true
 	}
-	return countVoters(m) >= c.wantedVoters()
+	return countVoters(m) >= c.requiredVoters()
 }
 
-func (c *Control) wantedVoters() int { return 2*int(c.settings.ToleratedLosses) + 1 }
+func (c *Control) requiredVoters() int { return 2*int(c.settings.ToleratedLosses) + 1 }
 
 func countVoters(m *wire.Membership) int {
 	voters := 0
@@ -47,19 +47,19 @@
 	return voters
 }
 
-// tendMembership lets replicas in without an operator, one change at a time:
+// reconcileMembership lets replicas in without an operator, one change at a time:
 // a replica that lost its disk takes the place of its old identity, others
 // vote until there are enough.
-func (c *Control) tendMembership(now time.Time) {
-	if c.settings.ToleratedLosses == 0 || now.Sub(c.membershipAt) < membershipInterval {
+func (c *Control) reconcileMembership(now time.Time) {
+	if c.settings.ToleratedLosses == 0 || now.Sub(c.membershipReconciledAt) < membershipInterval {
 		return
 	}
-	c.membershipAt = now
+	c.membershipReconciledAt = now
 	core := c.node.Core()
 	if _, leads := c.node.IsLeader(); !leads || core.MembershipCommitted() != nil {
 		return
 	}
-	change, err := c.nextChange(core.Members())
+	change, err := c.applyNextChange(core.Members())
 	if change == "" {
 		return
 	}
@@ -72,14 +72,14 @@
 	}
 }
 
-// nextChange makes one change that is due, and names it.
-func (c *Control) nextChange(m *wire.Membership) (string, error) {
+// applyNextChange makes one change that is due, and names it.
+func (c *Control) applyNextChange(m *wire.Membership) (string, error) {
 	core := c.node.Core()
 	for _, learner := range m.Members {
 		if learner.Voter {
 			continue
 		}
-		if newer := c.waitingAt(learner.Address); newer != nil && newer.ReplicaId != learner.ReplicaId {
+		if newer := c.pendingJoinAt(learner.Address); newer != nil && newer.ReplicaId != learner.ReplicaId {
 			return "remove learner " + learner.Name + ", whose disk is gone", core.Remove(learner.ReplicaId)
 		}
 		if old := voterAt(m, learner.Address); old != nil {
@@ -88,14 +88,14 @@
 		if core.CaughtUp(learner.ReplicaId) != nil || c.node.SinceLastResponse(learner.ReplicaId) > membershipInterval {
 			continue
 		}
-		if gone := c.goneVoter(m); gone != nil && countVoters(m) >= c.wantedVoters() {
+		if gone := c.unresponsiveVoter(m); gone != nil && countVoters(m) >= c.requiredVoters() {
 			return "put out silent " + gone.Name + " for " + learner.Name, core.Remove(gone.ReplicaId)
 		}
-		if countVoters(m) < c.wantedVoters() {
+		if countVoters(m) < c.requiredVoters() {
 			return "give " + learner.Name + " a vote", core.Promote(learner.ReplicaId)
 		}
 	}
-	for _, w := range c.founder.PendingJoins() {
+	for _, w := range c.bootstrapper.PendingJoins() {
 		if len(m.Members) < maxMembers || voterAt(m, w.Address) != nil {
 			return "let " + w.Name + " learn", core.AddLearner(w)
 		}
@@ -103,21 +103,21 @@
 	return "", nil
 }
 
-// goneVoter returns a voter that has been silent for long, or nil. It may come
+// unresponsiveVoter returns a voter that has been silent for long, or nil. It may come
 // back with its vote, so it is put out first and its place given after that,
 // each by a change of its own; replacing it in one step is only for a lost disk.
-func (c *Control) goneVoter(m *wire.Membership) *wire.ControlMember {
+func (c *Control) unresponsiveVoter(m *wire.Membership) *wire.ControlMember {
 	for _, member := range m.Members {
-		if member.Voter && c.node.SinceLastResponse(member.ReplicaId) > goneAfter {
+		if member.Voter && c.node.SinceLastResponse(member.ReplicaId) > voterTimeout {
 			return member
 		}
 	}
 	return nil
 }
 
-// waitingAt returns the replica at an address that asks to be let in, or nil.
-func (c *Control) waitingAt(address string) *wire.ControlMember {
-	for _, w := range c.founder.PendingJoins() {
+// pendingJoinAt returns the replica at an address that asks to be let in, or nil.
+func (c *Control) pendingJoinAt(address string) *wire.ControlMember {
+	for _, w := range c.bootstrapper.PendingJoins() {
 		if w.Address == address {
 			return w
 		}
--- a/internal/run/ctrl/operator.go
+++ b/internal/run/ctrl/operator.go
@@ -38,7 +38,7 @@
 // ApplyConfiguration commits a configuration and waits a little until all
 // entries have it in force.
 func (s *operatorService) ApplyConfiguration(ctx context.Context, r *wire.ApplyConfigurationRequest) (*wire.ApplyConfigurationResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
 	if r.OperationId == "" || len(r.OperationId) > 128 {
@@ -49,10 +49,10 @@
 	}
 	result, err := s.node.Commit(ctx, &wire.Command{Body: &wire.Command_ApplyConfiguration{ApplyConfiguration: r}})
 	if err == nil {
-		err = refused(result.Err)
+		err = refusalStatus(result.Err)
 	}
 	if err != nil {
-		return nil, turned(err)
+		return nil, statusError(err)
 	}
 	answer := result.Apply
 	if answer.Outcome == wire.ApplyOutcome_APPLY_OUTCOME_APPLIED {
@@ -80,16 +80,16 @@
 
 // GetConfiguration gives the version in force.
 func (s *operatorService) GetConfiguration(ctx context.Context, _ *wire.GetConfigurationRequest) (*wire.GetConfigurationResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
 	answer := &wire.GetConfigurationResponse{}
-	return answer, turned(s.node.Read(ctx, func() { answer.Current = s.machine.Configuration() }))
+	return answer, statusError(s.node.Read(ctx, func() { answer.Current = s.machine.Configuration() }))
 }
 
 // ListConfigurationHistory gives past versions, the newest first.
 func (s *operatorService) ListConfigurationHistory(ctx context.Context, r *wire.ListConfigurationHistoryRequest) (*wire.ListConfigurationHistoryResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
 	limit := int(r.Limit)
@@ -97,12 +97,12 @@
 		limit = maxHistory
 	}
 	answer := &wire.ListConfigurationHistoryResponse{}
-	return answer, turned(s.node.Read(ctx, func() { answer.Versions = s.machine.History(limit) }))
+	return answer, statusError(s.node.Read(ctx, func() { answer.Versions = s.machine.History(limit) }))
 }
 
 // ListWorkers gives the registered workers and what is committed on them.
 func (s *operatorService) ListWorkers(ctx context.Context, _ *wire.ListWorkersRequest) (*wire.ListWorkersResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
 	answer := &wire.ListWorkersResponse{}
@@ -123,12 +123,12 @@
 	sort.Slice(answer.Workers, func(i, j int) bool {
 		return answer.Workers[i].Worker.WorkerId < answer.Workers[j].Worker.WorkerId
 	})
-	return answer, turned(err)
+	return answer, statusError(err)
 }
 
 // QuarantineWorker puts a worker aside or takes it back.
 func (s *operatorService) QuarantineWorker(ctx context.Context, r *wire.QuarantineWorkerRequest) (*wire.QuarantineWorkerResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
 	if !r.Release && r.Reason == "" {
@@ -138,14 +138,14 @@
 		WorkerId: r.WorkerId, Release: r.Release, Reason: r.Reason,
 	}}})
 	if err == nil {
-		err = refused(result.Err)
+		err = refusalStatus(result.Err)
 	}
-	return &wire.QuarantineWorkerResponse{}, turned(err)
+	return &wire.QuarantineWorkerResponse{}, statusError(err)
 }
 
 // ListControlMembers gives the membership and who waits to be let in.
 func (s *operatorService) ListControlMembers(ctx context.Context, _ *wire.ListControlMembersRequest) (*wire.ListControlMembersResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
 	answer := &wire.ListControlMembersResponse{}
@@ -153,8 +153,8 @@
 		answer.Members = s.node.Core().Members().GetMembers()
 		answer.LeaderReplicaId = s.node.Core().Status().Leader
 	})
-	answer.Waiting = s.founder.PendingJoins()
-	return answer, turned(err)
+	answer.Waiting = s.bootstrapper.PendingJoins()
+	return answer, statusError(err)
 }
 
 // ChangeControlMember adds a waiting replica, removes a member, or replaces
@@ -164,7 +164,7 @@
 // after finds a voter that holds everything. A change whose answer was lost is
 // simply asked for again.
 func (s *operatorService) ChangeControlMember(ctx context.Context, r *wire.ChangeControlMemberRequest) (*wire.ChangeControlMemberResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
 	if r.AddName == "" && r.RemoveReplicaId == 0 {
@@ -177,15 +177,15 @@
 			return nil, err
 		}
 		added = m.ReplicaId
-		if err := s.step(ctx, func(c *quorum.Core) error { return c.AddLearner(m) }); err != nil {
+		if err := s.changeMembership(ctx, func(c *quorum.Core) error { return c.AddLearner(m) }); err != nil {
 			return nil, err
 		}
-		if err := s.caughtUp(ctx, added); err != nil {
+		if err := s.awaitCaughtUp(ctx, added); err != nil {
 			return nil, err
 		}
 	}
 	if r.RemoveReplicaId != 0 {
-		err := s.step(ctx, func(c *quorum.Core) error {
+		err := s.changeMembership(ctx, func(c *quorum.Core) error {
 			if err := c.Remove(r.RemoveReplicaId); !errors.Is(err, quorum.ErrUnknownMember) {
 				return err
 			}
@@ -196,18 +196,18 @@
 		}
 	}
 	if added != 0 {
-		if err := s.step(ctx, func(c *quorum.Core) error { return c.Promote(added) }); err != nil {
+		if err := s.changeMembership(ctx, func(c *quorum.Core) error { return c.Promote(added) }); err != nil {
 			return nil, err
 		}
 	}
 	answer := &wire.ChangeControlMemberResponse{}
-	return answer, turned(s.node.Do(ctx, func() { answer.Members = s.node.Core().Members().GetMembers() }))
+	return answer, statusError(s.node.Do(ctx, func() { answer.Members = s.node.Core().Members().GetMembers() }))
 }
 
 // candidate finds the replica to add among those waiting, or among the
 // learners of an earlier try.
 func (s *operatorService) candidate(ctx context.Context, name string) (*wire.ControlMember, error) {
-	for _, m := range s.founder.PendingJoins() {
+	for _, m := range s.bootstrapper.PendingJoins() {
 		if m.Name == name {
 			return m, nil
 		}
@@ -221,7 +221,7 @@
 		}
 	})
 	if err != nil {
-		return nil, turned(err)
+		return nil, statusError(err)
 	}
 	if found == nil {
 		return nil, status.Errorf(codes.NotFound, "no replica named %q waits to be let in", name)
@@ -229,24 +229,24 @@
 	return found, nil
 }
 
-// step makes one change once the change before it is committed, and waits
+// changeMembership makes one change once the change before it is committed, and waits
 // until it is committed itself.
-func (s *operatorService) step(ctx context.Context, change func(*quorum.Core) error) error {
-	return s.poll(ctx, func(c *quorum.Core) error { return change(c) }, func(c *quorum.Core) error { return c.MembershipCommitted() })
+func (s *operatorService) changeMembership(ctx context.Context, change func(*quorum.Core) error) error {
+	return s.pollSteps(ctx, func(c *quorum.Core) error { return change(c) }, func(c *quorum.Core) error { return c.MembershipCommitted() })
 }
 
-// caughtUp waits until the learner could be promoted.
-func (s *operatorService) caughtUp(ctx context.Context, id uint64) error {
-	return s.poll(ctx, func(c *quorum.Core) error { return c.CaughtUp(id) })
+// awaitCaughtUp waits until the learner could be promoted.
+func (s *operatorService) awaitCaughtUp(ctx context.Context, id uint64) error {
+	return s.pollSteps(ctx, func(c *quorum.Core) error { return c.CaughtUp(id) })
 }
 
-// poll runs each step on the loop until it no longer asks for patience.
-func (s *operatorService) poll(ctx context.Context, steps ...func(*quorum.Core) error) error {
+// pollSteps runs each step on the loop until it no longer asks for patience.
+func (s *operatorService) pollSteps(ctx context.Context, steps ...func(*quorum.Core) error) error {
 	for _, step := range steps {
 		for {
 			var err error
 			if lost := s.node.Do(ctx, func() { err = step(s.node.Core()) }); lost != nil {
-				return turned(lost)
+				return statusError(lost)
 			}
 			if err == nil {
 				break
@@ -273,7 +273,7 @@
 
 // GetStatus gives the counts that an operator looks at first.
 func (s *operatorService) GetStatus(ctx context.Context, _ *wire.GetStatusRequest) (*wire.GetStatusResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
 	answer := &wire.GetStatusResponse{Entries: s.entries.list(s.clock.Now())}
@@ -286,5 +286,5 @@
 		answer.DrainedDomains, _ = s.machine.Graph().DrainedDomains()
 		answer.Queued, answer.Running, answer.Finished = uint32(queued), uint32(running), finished
 	})
-	return answer, turned(err)
+	return answer, statusError(err)
 }
--- a/internal/run/ctrl/peer.go
+++ b/internal/run/ctrl/peer.go
@@ -21,24 +21,24 @@
 )
 
 const (
-	// entryHeard is how long an entry counts as running after its last hello.
-	entryHeard = 3 * time.Second
-	// helloHold is how long a hello is held while there is no news. News end
+	// entryTTL is how long an entry counts as running after its last hello.
+	entryTTL = 3 * time.Second
+	// helloPollTimeout is how long a hello is held while there is no news. News end
 	// it at once, so that this only sets how soon an entry misses a replica;
 	// each hello costs about 1.5 KB and 0.2 ms of a processor at either end.
-	helloHold = 700 * time.Millisecond
-	// leaderCheck is how often a relay stream asks whether this replica still
+	helloPollTimeout = 700 * time.Millisecond
+	// leaderCheckInterval is how often a relay stream asks whether this replica still
 	// leads, so that entries move on soon after a change.
-	leaderCheck = 200 * time.Millisecond
-	// outgoingAnswers bounds the answers waiting for one entry. What is
+	leaderCheckInterval = 200 * time.Millisecond
+	// answerQueueSize bounds the answers waiting for one entry. What is
 	// dropped is sent again with the answer to a worker's next report.
-	outgoingAnswers = 4096
-	// notDone begins the messages of refusals after which nothing was done;
+	answerQueueSize = 4096
+	// notExecuted begins the messages of refusals after which nothing was done;
 	// entries tell them by it from connections that broke.
-	notDone = uplink.NotExecuted
-	// dispatchGrace is how long a dispatch record outlives its request's
+	notExecuted = uplink.NotExecuted
+	// dispatchRetention is how long a dispatch record outlives its request's
 	// deadline; a caller may ask until then what became of it.
-	dispatchGrace = 10 * time.Minute
+	dispatchRetention = 10 * time.Minute
 )
 
 type (
@@ -67,10 +67,10 @@
 	wire.RegisterWorkServiceServer(c.server, &workService{Control: c})
 }
 
-// started tells callers who come before the cluster is founded to come again.
-func (c *Control) started() error {
+// checkStarted tells callers who come before the cluster is founded to come again.
+func (c *Control) checkStarted() error {
 	if !c.running.Load() || c.view.Load().members == nil {
-		return status.Error(codes.Unavailable, notDone+"this replica isn't part of a cluster yet")
+		return status.Error(codes.Unavailable, notExecuted+"this replica isn't part of a cluster yet")
 	}
 	return nil
 }
@@ -98,7 +98,7 @@
 
 // Identify tells who this replica is.
 func (s *peerService) Identify(_ context.Context, r *wire.IdentifyRequest) (*wire.IdentifyResponse, error) {
-	return s.founder.Identify(r), nil
+	return s.bootstrapper.Identify(r), nil
 }
 
 // Hello hears an entry and tells it who leads and what is in force.
@@ -106,22 +106,22 @@
 	if r.GetEntry().GetEntryId() == "" {
 		return nil, status.Error(codes.InvalidArgument, "Entry.EntryId is empty")
 	}
-	s.entries.hear(r.Entry, s.clock.Now())
-	v := s.awaitNews(ctx, r)
+	s.entries.record(r.Entry, s.clock.Now())
+	v := s.awaitChange(ctx, r)
 	answer := &wire.HelloResponse{
 		LeaderAddress: v.leader, Term: v.term, ConfigurationVersion: v.version, Members: v.members,
-		DrainedDomains: v.drained, DrainRevision: v.drains,
+		DrainedDomains: v.drained, DrainRevision: v.drainRevision,
 	}
-	answer.Entries, answer.EntriesDigest = s.entries.listUnless(r.KnownEntries, s.clock.Now())
+	answer.Entries, answer.EntriesDigest = s.entries.listIfChanged(r.KnownEntries, s.clock.Now())
 	return answer, nil
 }
 
-// awaitNews holds a hello until there is something the entry doesn't know, so
+// awaitChange holds a hello until there is something the entry doesn't know, so
 // that a change reaches all entries at once without more messages.
-func (s *controlService) awaitNews(ctx context.Context, r *wire.HelloRequest) *view {
+func (s *controlService) awaitChange(ctx context.Context, r *wire.HelloRequest) *view {
 	v := s.view.Load()
-	deadline := s.clock.After(helloHold)
-	for v.version <= r.Entry.ConfigurationVersion && v.drains <= r.KnownDrains && v.leader == r.KnownLeader && v.term == r.KnownTerm {
+	deadline := s.clock.After(helloPollTimeout)
+	for v.version <= r.Entry.ConfigurationVersion && v.drainRevision <= r.KnownDrains && v.leader == r.KnownLeader && v.term == r.KnownTerm {
 		select {
 		case <-v.changed:
 		case <-deadline:
@@ -140,23 +140,23 @@
 // one is what an entry needs that has none yet: a replica that lags would hand
 // it one from before a change that is in force already.
 func (s *controlService) FetchConfiguration(ctx context.Context, r *wire.FetchConfigurationRequest) (*wire.FetchConfigurationResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
 	answer := &wire.FetchConfigurationResponse{}
 	read := func() { answer.Current = s.machine.Configuration() }
 	if r.QuorumConfirmed {
-		return answer, turned(s.node.Read(ctx, read))
+		return answer, statusError(s.node.Read(ctx, read))
 	}
-	return answer, turned(s.node.Do(ctx, read))
+	return answer, statusError(s.node.Do(ctx, read))
 }
 
 // RelayWorkers hears the workers that attend at one entry.
 func (s *controlService) RelayWorkers(stream grpc.BidiStreamingServer[wire.RelayWorkersRequest, wire.RelayWorkersResponse]) error {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return err
 	}
-	outgoing := make(chan *wire.WorkerAnswer, outgoingAnswers)
+	outgoing := make(chan *wire.WorkerAnswer, answerQueueSize)
 	reply := func(a *wire.WorkerAnswer) {
 		select {
 		case outgoing <- a:
@@ -165,7 +165,7 @@
 	}
 	received := make(chan error, 1)
 	go func() { received <- s.receiveReports(stream, reply) }()
-	ticker := s.clock.NewTicker(leaderCheck)
+	ticker := s.clock.NewTicker(leaderCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -174,11 +174,11 @@
 		case <-s.closing:
 			return status.Error(codes.Unavailable, "stopping")
 		case <-ticker.Chan():
-			if !s.view.Load().leads {
+			if !s.view.Load().isLeader {
 				return status.Error(codes.Unavailable, "not the leader")
 			}
 		case a := <-outgoing:
-			if err := stream.Send(&wire.RelayWorkersResponse{Answers: gather(a, outgoing)}); err != nil {
+			if err := stream.Send(&wire.RelayWorkersResponse{Answers: batch(a, outgoing)}); err != nil {
 				return err
 			}
 		}
@@ -203,7 +203,7 @@
 	}
 }
 
-func gather(first *wire.WorkerAnswer, more chan *wire.WorkerAnswer) []*wire.WorkerAnswer {
+func batch(first *wire.WorkerAnswer, more chan *wire.WorkerAnswer) []*wire.WorkerAnswer {
 	answers := []*wire.WorkerAnswer{first}
 	for {
 		select {
@@ -217,38 +217,38 @@
 
 // OpenDispatch records that a non-idempotent request is about to be sent.
 func (s *controlService) OpenDispatch(ctx context.Context, r *wire.OpenDispatchRequest) (*wire.OpenDispatchResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
 	ctx, span := spans.StartSpan(ctx, "commit")
 	defer span.End()
-	keep := s.clock.Now().Add(r.Timeout.AsDuration() + dispatchGrace)
+	keep := s.clock.Now().Add(r.Timeout.AsDuration() + dispatchRetention)
 	result, err := s.node.Commit(ctx, &wire.Command{Body: &wire.Command_OpenDispatch{OpenDispatch: &wire.DispatchRecord{
 		ClientAccount: r.ClientAccount, RequestId: r.RequestId, EntryId: r.EntryId, Nonce: r.Nonce,
 		KeepUntil: timestamppb.New(keep),
 	}}})
-	return result.Dispatch, turned(err)
+	return result.Dispatch, statusError(err)
 }
 
 // CloseDispatch records how the request went.
 func (s *controlService) CloseDispatch(ctx context.Context, r *wire.CloseDispatchRequest) (*wire.CloseDispatchResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
 	_, err := s.node.Commit(ctx, &wire.Command{Body: &wire.Command_CloseDispatch{CloseDispatch: &wire.CloseDispatch{
 		ClientAccount: r.ClientAccount, RequestId: r.RequestId, Nonce: r.Nonce, NotRun: r.NotRun,
 	}}})
-	return &wire.CloseDispatchResponse{}, turned(err)
+	return &wire.CloseDispatchResponse{}, statusError(err)
 }
 
-// turned makes a status of the replica's errors. Unavailable means nothing was
+// statusError makes a status of the replica's errors. Unavailable means nothing was
 // done; Aborted means it may have been.
-func turned(err error) error {
+func statusError(err error) error {
 	switch {
 	case err == nil:
 		return nil
 	case errors.Is(err, node.ErrNotLeader), errors.Is(err, node.ErrStopped):
-		return status.Error(codes.Unavailable, notDone+err.Error())
+		return status.Error(codes.Unavailable, notExecuted+err.Error())
 	case errors.Is(err, node.ErrUncertain):
 		return status.Error(codes.Aborted, err.Error())
 	}
--- a/internal/run/ctrl/report.go
+++ b/internal/run/ctrl/report.go
@@ -22,36 +22,36 @@
 	remote := desk.Remote(func() (desk.Conn, error) {
 		leader := c.view.Load().leader
 		if leader == "" || leader == c.self.Address {
-			return nil, status.Error(codes.Unavailable, notDone+"no control leader is known")
+			return nil, status.Error(codes.Unavailable, notExecuted+"no control leader is known")
 		}
 		return c.pool.Conn(leader)
 	})
-	d := desk.Choose(func() bool { return c.view.Load().leads }, desk.Local(local), remote)
+	d := desk.Choose(func() bool { return c.view.Load().isLeader }, desk.Local(local), remote)
 	toLeader := d.Report
 	d.Report = func(ctx context.Context, r *wire.ReportAgentRequest) (*wire.ReportAgentResponse, error) {
-		if c.tellsNothing(ctx, r) {
-			return c.reported(), nil
+		if c.isRedundant(ctx, r) {
+			return c.reportResponse(), nil
 		}
 		if _, err := toLeader(ctx, r); err != nil {
 			return nil, err
 		}
-		return c.reported(), nil
+		return c.reportResponse(), nil
 	}
 	return d
 }
 
-// reported is the answer to a heartbeat that was taken. Later ones are best sent to
+// reportResponse is the answer to a heartbeat that was taken. Later ones are best sent to
 // the same replica, whichever it is: if all went to the leader, those of 1,800 agents
 // took 1,640 calls a second and as many connections of its.
-func (c *Control) reported() *wire.ReportAgentResponse {
+func (c *Control) reportResponse() *wire.ReportAgentResponse {
 	return &wire.ReportAgentResponse{ReportAddress: c.settings.GetWeb().GetWebAddress()}
 }
 
-// tellsNothing tells, on a replica that doesn't lead, whether a heartbeat says no more
+// isRedundant tells, on a replica that doesn't lead, whether a heartbeat says no more
 // than what is committed. The leader then has nothing to learn from it, since it reads
 // the same log; whether the agent is there it finds out by its leases.
-func (c *Control) tellsNothing(ctx context.Context, r *wire.ReportAgentRequest) bool {
-	if c.view.Load().leads {
+func (c *Control) isRedundant(ctx context.Context, r *wire.ReportAgentRequest) bool {
+	if c.view.Load().isLeader {
 		return false
 	}
 	known := false
@@ -61,12 +61,12 @@
 
 // ReportAgent takes a heartbeat.
 func (s *workService) ReportAgent(ctx context.Context, r *wire.ReportAgentRequest) (*wire.ReportAgentResponse, error) {
-	if err := s.ready(); err != nil {
+	if err := s.checkReady(); err != nil {
 		return nil, err
 	}
 	done := make(chan error, 1)
 	if !s.node.Post(func() { s.engine.HandleReport(boot.Now(), r, func(err error) { done <- err }) }) {
-		return nil, turned(node.ErrStopped)
+		return nil, statusError(node.ErrStopped)
 	}
 	select {
 	case err := <-done:
@@ -74,9 +74,9 @@
 			err = node.ErrNotLeader
 		}
 		if err != nil {
-			return nil, turned(err)
+			return nil, statusError(err)
 		}
-		return s.reported(), nil
+		return s.reportResponse(), nil
 	case <-ctx.Done():
 		return nil, status.FromContextError(ctx.Err()).Err()
 	}
--- a/internal/run/ctrl/work.go
+++ b/internal/run/ctrl/work.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	// forgetInterval is how often jobs that ended long ago are looked for.
-	forgetInterval = 10 * time.Second
+	// compactInterval is how often jobs that ended long ago are looked for.
+	compactInterval = 10 * time.Second
 )
 
 var jobSeconds = metrics.NewHistogram("sycamoredeck_job_seconds")
@@ -59,19 +59,19 @@
 	}
 	c.engine = drive.New(drive.Options{
 		Graph: c.machine.Graph(), Propose: c.node.Propose,
-		IsLeader: c.drives, HoldsLeaderLease: c.node.HoldsLeaderLease, Send: c.carry, WallClock: time.Now,
+		IsLeader: c.engineLeads, HoldsLeaderLease: c.node.HoldsLeaderLease, Send: c.sendOrder, WallClock: time.Now,
 		Lease:           min(c.settings.AgentLease.AsDuration(), c.settings.MaxAgentLease.AsDuration()),
 		StopGrace:       c.settings.StopGrace.AsDuration(),
 		OtherRackFactor: c.settings.OtherRackFactor, MaxConnections: files.NewBudget(c.settings.MaxOpenFiles).Agents,
-		Advise: c.advise, Disabled: off, Logger: c.logger,
+		Advise: c.requestAdvice, Disabled: off, Logger: c.logger,
 	})
-	c.machine.Graph().OnJobFinished = c.jobFinished
-	c.background.Go(c.forgetLoop)
+	c.machine.Graph().OnJobFinished = c.recordJobFinished
+	c.background.Go(c.compactLoop)
 	return nil
 }
 
-// jobFinished logs a job's end, once: where it is led from.
-func (c *Control) jobFinished(j *graph.Job) {
+// recordJobFinished logs a job's end, once: where it is led from.
+func (c *Control) recordJobFinished(j *graph.Job) {
 	if _, leads := c.node.IsLeader(); !leads {
 		return
 	}
@@ -80,37 +80,37 @@
 	c.logger.Info("job ended", "job", j.ID, "queue", j.Queue, "state", j.State.String(), "took_ms", took.Milliseconds(), "failures", j.Failures(), "crashes", j.Crashes())
 }
 
-// wakeLater orders the next turn for when the engine wants it: the replica's own
+// scheduleTick orders the next turn for when the engine wants it: the replica's own
 // ticks are too far apart to place work by.
-func (c *Control) wakeLater() {
+func (c *Control) scheduleTick() {
 	wake := c.engine.NextTick()
-	if c.waking || wake >= c.settings.HeartbeatInterval.AsDuration()/2 {
+	if c.tickScheduled || wake >= c.settings.HeartbeatInterval.AsDuration()/2 {
 		return
 	}
-	c.waking = true
+	c.tickScheduled = true
 	time.AfterFunc(max(wake, time.Millisecond), func() {
-		c.node.Post(func() { c.waking = false })
+		c.node.Post(func() { c.tickScheduled = false })
 	})
 }
 
-// drives tells, on the loop, the term in which this replica may drive agents. It
+// engineLeads tells, on the loop, the term in which this replica may drive agents. It
 // begins once enough replicas vote. While a lost one is being replaced there is
 // one too few for a moment; driving goes on, or all that is known of agents
 // would have to be asked anew.
-func (c *Control) drives() (uint64, bool) {
+func (c *Control) engineLeads() (uint64, bool) {
 	_, leads := c.node.IsLeader()
 	core := c.node.Core()
 	term := core.Status().Term
-	if c.platform.SendOrder != nil && c.enoughVoters(core.Members()) {
-		c.drivenTerm = term
+	if c.platform.SendOrder != nil && c.hasEnoughVoters(core.Members()) {
+		c.engineTerm = term
 	}
-	return term, leads && c.drivenTerm == term
+	return term, leads && c.engineTerm == term
 }
 
-// carry has an order taken to its agent. The right to lead is checked last:
+// sendOrder has an order taken to its agent. The right to lead is checked last:
 // an order of a leader that was frozen or cut off must not leave beside those
 // of the next one.
-func (c *Control) carry(o drive.Order) {
+func (c *Control) sendOrder(o drive.Order) {
 	go func() {
 		answer := drive.Answer{Order: o, Verdict: drive.NotSent, Detail: "no right to lead"}
 		if c.node.HoldsLeaderLease(o.Fence) {
@@ -121,8 +121,8 @@
 	}()
 }
 
-// advise has the outside service asked.
-func (c *Control) advise(r drive.AdviceRequest) {
+// requestAdvice has the outside service asked.
+func (c *Control) requestAdvice(r drive.AdviceRequest) {
 	go func() {
 		answer := drive.AdviceAnswer{Detail: "no advice address is set"}
 		if c.platform.Advise != nil && c.settings.AdviceAddress != "" {
@@ -142,17 +142,17 @@
 	return c.platform.Serve(c.settings, budget, c.desk())
 }
 
-// ready tells whether this replica may acknowledge anything.
-func (s *workService) ready() error {
-	if err := s.started(); err != nil {
+// checkReady tells whether this replica may acknowledge anything.
+func (s *workService) checkReady() error {
+	if err := s.checkStarted(); err != nil {
 		return err
 	}
 	v := s.view.Load()
-	if !v.leads {
-		return status.Error(codes.Unavailable, notDone+"not the leader")
+	if !v.isLeader {
+		return status.Error(codes.Unavailable, notExecuted+"not the leader")
 	}
-	if !v.safe {
-		return status.Error(codes.Unavailable, notDone+"too few control replicas vote yet")
+	if !v.faultTolerant {
+		return status.Error(codes.Unavailable, notExecuted+"too few control replicas vote yet")
 	}
 	return nil
 }
@@ -160,7 +160,7 @@
 // commit has a command about jobs committed and gives what it came to.
 func (s *workService) commit(ctx context.Context, c *wire.WorkCommand) (state.Result, error) {
 	result, err := s.node.Commit(ctx, &wire.Command{Body: &wire.Command_Work{Work: c}})
-	return result, turned(err)
+	return result, statusError(err)
 }
 
 // read runs f on the loop while this replica surely leads. While a confirmed
@@ -175,14 +175,14 @@
 		}
 	})
 	if err != nil || done {
-		return turned(err)
+		return statusError(err)
 	}
-	return turned(s.node.Read(ctx, f))
+	return statusError(s.node.Read(ctx, f))
 }
 
 // SubmitWork commits a job.
 func (s *workService) SubmitWork(ctx context.Context, r *wire.SubmitWorkRequest) (*wire.SubmitWorkResponse, error) {
-	queue, id, err := s.find(ctx, r.Target)
+	queue, id, err := s.resolveTarget(ctx, r.Target)
 	if err != nil {
 		return nil, err
 	}
@@ -199,7 +199,7 @@
 		s.logger.Info("job not known to be accepted", "job", id, "queue", queue, "error", err)
 		return nil, err
 	}
-	answer := &wire.SubmitWorkResponse{Answer: answerOf(result.Err)}
+	answer := &wire.SubmitWorkResponse{Answer: answerForError(result.Err)}
 	if result.Err != nil {
 		answer.Reason = result.Err.Error()
 	}
@@ -207,10 +207,10 @@
 	return answer, nil
 }
 
-// find tells which queue a target names, and the rest of its path; an empty
+// resolveTarget tells which queue a target names, and the rest of its path; an empty
 // queue is none.
-func (s *workService) find(ctx context.Context, target *wire.WorkTarget) (queue, rest string, err error) {
-	if err := s.ready(); err != nil {
+func (s *workService) resolveTarget(ctx context.Context, target *wire.WorkTarget) (queue, rest string, err error) {
+	if err := s.checkReady(); err != nil {
 		return "", "", err
 	}
 	err = s.read(ctx, func() {
@@ -222,7 +222,7 @@
 	return queue, rest, err
 }
 
-func answerOf(err error) wire.WorkAnswer {
+func answerForError(err error) wire.WorkAnswer {
 	switch {
 	case err == nil:
 		return wire.WorkAnswer_WORK_ANSWER_DONE
@@ -239,7 +239,7 @@
 
 // InspectWork gives a job's state, or a queue's pending jobs.
 func (s *workService) InspectWork(ctx context.Context, r *wire.InspectWorkRequest) (*wire.InspectWorkResponse, error) {
-	if err := s.ready(); err != nil {
+	if err := s.checkReady(); err != nil {
 		return nil, err
 	}
 	answer := &wire.InspectWorkResponse{Answer: wire.WorkAnswer_WORK_ANSWER_UNKNOWN_QUEUE}
@@ -272,7 +272,7 @@
 
 // CancelWork commits a job's cancellation. Its runs are stopped after that.
 func (s *workService) CancelWork(ctx context.Context, r *wire.CancelWorkRequest) (*wire.CancelWorkResponse, error) {
-	queue, id, err := s.find(ctx, r.Target)
+	queue, id, err := s.resolveTarget(ctx, r.Target)
 	if err != nil {
 		return nil, err
 	}
@@ -284,7 +284,7 @@
 		return nil, err
 	}
 	s.logger.Info("job cancelled", "job", id, "queue", queue, "error", result.Err)
-	return &wire.CancelWorkResponse{Answer: answerOf(result.Err)}, nil
+	return &wire.CancelWorkResponse{Answer: answerForError(result.Err)}, nil
 }
 
 // PutCatalog commits a catalog. One that isn't newer is acknowledged and
@@ -297,7 +297,7 @@
 		s.logger.Info("catalog refused", "version", r.Catalog.Version, "error", err)
 		return &wire.PutCatalogResponse{Answer: wire.WorkAnswer_WORK_ANSWER_INVALID, Reason: err.Error()}, nil
 	}
-	if err := s.ready(); err != nil {
+	if err := s.checkReady(); err != nil {
 		return nil, err
 	}
 	answer := &wire.PutCatalogResponse{Answer: wire.WorkAnswer_WORK_ANSWER_DONE}
@@ -323,7 +323,7 @@
 
 // GetCatalog gives the catalog in force, none being newer.
 func (s *workService) GetCatalog(ctx context.Context, _ *wire.GetCatalogRequest) (*wire.GetCatalogResponse, error) {
-	if err := s.ready(); err != nil {
+	if err := s.checkReady(); err != nil {
 		return nil, err
 	}
 	answer := &wire.GetCatalogResponse{}
@@ -331,13 +331,13 @@
 	return answer, err
 }
 
-// forgetLoop drops what ended longer ago than it must be known.
-func (c *Control) forgetLoop() {
+// compactLoop drops what ended longer ago than it must be known.
+func (c *Control) compactLoop() {
 	for {
 		select {
 		case <-c.closing:
 			return
-		case <-c.clock.After(forgetInterval):
+		case <-c.clock.After(compactInterval):
 		}
 		before := c.clock.Now().Add(-c.settings.WorkRetention.AsDuration())
 		c.node.Post(func() {
