--- a/internal/run/ctrl/ctrl.go
+++ b/internal/run/ctrl/ctrl.go
@@ -1,7 +1,7 @@
-// This file defines Control, its start and its stop.
+// This file defines Control, its startup and its shutdown.
 
-// Package ctrl is the control process: one replica of the system's durable
-// state and, while it leads, the scheduler of batch and standing work.
+// Package ctrl implements the control process: a replica of the system's durable state
+// and, while it is the leader, the scheduler of batch and standing work.
 package ctrl
 
 import (
@@ -34,33 +34,32 @@
 )
 
 const (
-	// joinRequestInterval is how often a replica that isn't a member asks to be
-	// let in.
+	// joinRequestInterval is how often a replica that isn't a member asks to join.
 	joinRequestInterval = time.Second
-	// leadershipTransferTimeout bounds how long a stopping leader waits for a successor.
+	// leadershipTransferTimeout bounds the wait of a stopping leader for a successor.
 	leadershipTransferTimeout = 3 * time.Second
 	leadershipTransferPoll    = 20 * time.Millisecond
 )
 
 type (
-	// view is what other goroutines may know of the loop, renewed each turn.
+	// view is the event loop's state as visible to other goroutines. It is immutable, and
+	// replaced after an iteration that changes it.
 	view struct {
 		isLeader bool
 		leader   string // advertised address, or empty
 		term     uint64
 		version  uint64
 		members  []*wire.ControlMember
-		// drained are the failure domains that get no new work, as of drains.
+		// drained lists the failure domains that get no new work, as of drainRevision.
 		drained       []string
 		drainRevision uint64
-		// faultTolerant tells that enough replicas vote to survive the losses that the
-		// settings name.
+		// faultTolerant is set if there are enough voters to tolerate the configured losses.
 		faultTolerant bool
-		// changed is closed when a newer view takes its place.
+		// changed is closed when a newer view replaces this one.
 		changed chan struct{}
 	}
 
-	// Control is one running control process.
+	// Control is a running control process.
 	Control struct {
 		settings     *wire.ControlSettings
 		logger       *slog.Logger
@@ -84,22 +83,21 @@
 		// running is set once node may be used by other goroutines.
 		running atomic.Bool
 
-		// publishedMembers is the membership the view was made from.
-		publishedMembers *wire.Membership
-		// membershipReconciledAt is when the membership was last looked after.
+		// Used only on the event loop: the membership of the current view, the time of
+		// the last reconciliation, the last term in which the engine was allowed to
+		// start, and whether a timer for the next tick is running.
+		publishedMembers       *wire.Membership
 		membershipReconciledAt time.Time
-		// engineTerm is the last term in which driving agents could begin; of
-		// the loop.
-		engineTerm uint64
-		// tickScheduled is set while a turn is on order; of the loop.
-		tickScheduled bool
-		closing       chan struct{}
-		background    sync.WaitGroup
+		engineTerm             uint64
+		tickScheduled          bool
+
+		closing    chan struct{}
+		background sync.WaitGroup
 	}
 )
 
-// Run serves until the context ends, then hands over and stops. It returns an
-// error when the start or the disk fails.
+// Run serves until the context ends, then transfers leadership and stops. It returns an
+// error if the startup or the disk fails.
 func Run(ctx context.Context, settings *wire.ControlSettings, logger *slog.Logger, platform Platform, reloads <-chan *wire.ControlSettings) error {
 	c := &Control{
 		settings: settings, logger: logger, platform: platform, clock: clockwork.NewRealClock(),
@@ -111,17 +109,17 @@
 		return err
 	}
 	defer flush(context.WithoutCancel(ctx))
-	running, stopFollowing := context.WithCancel(ctx)
-	defer stopFollowing()
-	if err := c.start(running, reloads); err != nil {
+	runCtx, stopWatching := context.WithCancel(ctx)
+	defer stopWatching()
+	if err := c.start(runCtx, reloads); err != nil {
 		return err
 	}
 	logger.Info("started", "replica", c.self.ReplicaId, "address", c.self.Address)
-	stopServing, err := c.servePlatform()
+	stopPlatform, err := c.servePlatform()
 	if err != nil {
 		return err
 	}
-	defer stopServing()
+	defer stopPlatform()
 	select {
 	case <-ctx.Done():
 		c.stop()
@@ -140,7 +138,7 @@
 	c.log = log
 	context.AfterFunc(ctx, log.AbortRetries)
 	if durable.TornBytes > 0 {
-		c.logger.Warn("cut off an unfinished write", "bytes", durable.TornBytes)
+		c.logger.Warn("truncated incomplete log write", "bytes", durable.TornBytes)
 	}
 	if err := c.loadIdentity(durable); err != nil {
 		return err
@@ -162,7 +160,8 @@
 	return c.startNode(durable)
 }
 
-// loadIdentity reads this replica's identity, or draws one for a new folder.
+// loadIdentity loads this replica's ID, or generates one for a new data folder, and sets up
+// the bootstrapper.
 func (c *Control) loadIdentity(durable *walog.DurableState) error {
 	if durable.Vote.GetReplicaId() == 0 {
 		id := rand.Uint64() | 1
@@ -183,7 +182,7 @@
 	return nil
 }
 
-// seedMembers are the control replicas that the settings name by address only.
+// seedMembers returns the control replicas that the settings list by address only.
 func seedMembers(s *wire.ControlSettings) []*wire.ControlMember {
 	var members []*wire.ControlMember
 	for _, address := range setup.SeedAddresses(s.Seeds) {
@@ -192,16 +191,16 @@
 	return members
 }
 
-// watchSettings takes over the seeds that settings read anew name, for a
-// replica that still waits to be let in. All else holds from the next start on.
+// watchSettings applies the seeds of reloaded settings, for a replica that hasn't joined
+// yet. Other changes take effect at the next start.
 func (c *Control) watchSettings(ctx context.Context, reloads <-chan *wire.ControlSettings) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case fresh := <-reloads:
-			c.bootstrapper.SetSeeds(seedMembers(fresh))
-			c.logger.Info("settings taken", "seeds", setup.SeedAddresses(fresh.Seeds))
+		case settings := <-reloads:
+			c.bootstrapper.SetSeeds(seedMembers(settings))
+			c.logger.Info("settings reloaded", "seeds", setup.SeedAddresses(settings.Seeds))
 		}
 	}
 }
@@ -212,7 +211,7 @@
 	}
 	membership, err := c.bootstrapper.Bootstrap(ctx)
 	if err != nil {
-		return trace.Wrap(err, "founding the cluster")
+		return trace.Wrap(err, "bootstrapping the cluster")
 	}
 	durable.Snapshot = &wire.Snapshot{Membership: membership}
 	c.logger.Info("joined cluster", "cluster", membership.ClusterId, "members", len(membership.Members))
@@ -260,7 +259,7 @@
 	return nil
 }
 
-// tick runs on the loop after each turn of the replica.
+// tick runs after each iteration of the replica's event loop.
 func (c *Control) tick(now time.Time) {
 	c.planner.Tick(now)
 	c.engine.Tick(boot.Now())
@@ -269,24 +268,24 @@
 	c.publishView()
 }
 
-// publishView renews the view when anything in it has changed.
+// publishView replaces the view if anything in it has changed.
 func (c *Control) publishView() {
 	status := c.node.Core().Status()
 	members := c.node.Core().Members()
-	_, leads := c.node.IsLeader()
+	_, isLeader := c.node.IsLeader()
 	old := c.view.Load()
 	version := c.machine.Configuration().Version
 	leader := addressOf(members, status.Leader)
-	safe := c.hasEnoughVoters(members)
-	drained, drains := c.machine.Graph().DrainedDomains()
-	unchanged := old.drainRevision == drains && old.isLeader == leads && old.term == status.Term && old.version == version && old.leader == leader && old.faultTolerant == safe
+	faultTolerant := c.hasEnoughVoters(members)
+	drained, drainRevision := c.machine.Graph().DrainedDomains()
+	unchanged := old.drainRevision == drainRevision && old.isLeader == isLeader && old.term == status.Term && old.version == version && old.leader == leader && old.faultTolerant == faultTolerant
 	if unchanged && c.publishedMembers == members {
 		return
 	}
 	c.publishedMembers = members
 	c.bootstrapper.SetMembership(members)
 	c.admin.SetReady(leader != "")
-	c.view.Store(&view{isLeader: leads, leader: leader, term: status.Term, version: version, members: members.GetMembers(), drained: drained, drainRevision: drains, faultTolerant: safe, changed: make(chan struct{})})
+	c.view.Store(&view{isLeader: isLeader, leader: leader, term: status.Term, version: version, members: members.GetMembers(), drained: drained, drainRevision: drainRevision, faultTolerant: faultTolerant, changed: make(chan struct{})})
 	close(old.changed)
 }
 
@@ -299,13 +298,13 @@
 	return ""
 }
 
-// requestJoinLoop makes a replica that has no place in the membership visible to
-// the leader and to operators until it has one. One that was put out while it
-// was away doesn't know; it finds that it hears of no leader.
+// requestJoinLoop asks to join the cluster while this replica isn't a member. A replica
+// that was removed while it was down doesn't know; it asks once it has seen no leader for
+// leaderTimeout.
 func (c *Control) requestJoinLoop() {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	led := c.clock.Now()
+	leaderSeenAt := c.clock.Now()
 	for {
 		select {
 		case <-c.closing:
@@ -313,19 +312,19 @@
 		case <-c.clock.After(joinRequestInterval):
 		}
 		if c.view.Load().leader != "" {
-			led = c.clock.Now()
+			leaderSeenAt = c.clock.Now()
 		}
 		member := false
 		for _, m := range c.view.Load().members {
 			member = member || m.ReplicaId == c.self.ReplicaId
 		}
-		if !member || c.clock.Now().Sub(led) > leaderTimeout {
+		if !member || c.clock.Now().Sub(leaderSeenAt) > leaderTimeout {
 			c.bootstrapper.RequestJoin(ctx)
 		}
 	}
 }
 
-// stop hands leadership over, lets calls in flight finish and closes.
+// stop transfers leadership, waits for calls in flight and closes all components.
 func (c *Control) stop() {
 	c.admin.SetReady(false)
 	c.transferLeadership()
@@ -350,17 +349,18 @@
 	c.logger.Info("stopped")
 }
 
+// transferLeadership waits until another replica leads or the timeout passes.
 func (c *Control) transferLeadership() {
 	ctx, cancel := context.WithTimeout(context.Background(), leadershipTransferTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		leads := false
+		isLeader := false
 		err := c.node.Do(ctx, func() {
 			if c.node.Core().Status().Role == quorum.Leader {
-				leads = c.node.Core().TransferLeadership()
+				isLeader = c.node.Core().TransferLeadership()
 			}
 		})
-		if err != nil || !leads {
+		if err != nil || !isLeader {
 			return
 		}
 		c.clock.Sleep(leadershipTransferPoll)
--- a/internal/run/ctrl/domain.go
+++ b/internal/run/ctrl/domain.go
@@ -16,8 +16,8 @@
 	domainsRestored = metrics.NewCounter("sycamoredeck_failure_domains_restored_total")
 )
 
-// DrainDomain commits that a failure domain gets no new work, or gets it again. A
-// repeated order is acknowledged and changes nothing.
+// DrainDomain commits the draining or restoration of a failure domain. A repeated request
+// is acknowledged without effect.
 func (s *workService) DrainDomain(ctx context.Context, r *wire.DrainDomainRequest) (*wire.DrainDomainResponse, error) {
 	if err := graph.CheckDomain(r.FailureDomain); err != nil {
 		return &wire.DrainDomainResponse{Answer: wire.WorkAnswer_WORK_ANSWER_INVALID, Reason: err.Error()}, nil
@@ -26,10 +26,10 @@
 		return nil, err
 	}
 	answer := &wire.DrainDomainResponse{Answer: wire.WorkAnswer_WORK_ANSWER_DONE}
-	done := false
+	unchanged := false
 	err := s.read(ctx, func() {
 		g := s.machine.Graph()
-		done = g.Drained(r.FailureDomain) != r.Restore
+		unchanged = g.Drained(r.FailureDomain) != r.Restore
 		for _, d := range g.Domains() {
 			if d.FailureDomain == r.FailureDomain {
 				answer.Agents = d.Agents
@@ -39,14 +39,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if done {
-		s.logger.Info("failure domain already so", "domain", r.FailureDomain, "drained", !r.Restore)
+	if unchanged {
+		s.logger.Info("failure domain unchanged", "domain", r.FailureDomain, "drained", !r.Restore)
 		return answer, nil
 	}
 	command := &wire.DrainDomain{FailureDomain: r.FailureDomain, Restore: r.Restore}
 	result, err := s.commit(ctx, &wire.WorkCommand{Body: &wire.WorkCommand_DrainDomain{DrainDomain: command}})
 	if err != nil {
-		s.logger.Info("failure domain not known to be changed", "domain", r.FailureDomain, "drained", !r.Restore, "error", err)
+		s.logger.Info("failure domain change not confirmed", "domain", r.FailureDomain, "drained", !r.Restore, "error", err)
 		return nil, err
 	}
 	if result.Err != nil {
@@ -62,7 +62,7 @@
 	return answer, nil
 }
 
-// ListDomains gives the failure domains that have agents or are drained.
+// ListDomains returns the failure domains that have agents or are drained.
 func (s *workService) ListDomains(ctx context.Context, _ *wire.ListDomainsRequest) (*wire.ListDomainsResponse, error) {
 	if err := s.checkReady(); err != nil {
 		return nil, err
--- a/internal/run/ctrl/entries.go
+++ b/internal/run/ctrl/entries.go
@@ -1,4 +1,4 @@
-// This file defines the list of entries that a control replica hears.
+// This file defines the table of entries that are connected to a control replica.
 
 package ctrl
 
@@ -20,7 +20,8 @@
 		lastSeen time.Time
 	}
 
-	// entryTable is the soft list of entries. The zero value is empty.
+	// entryTable holds the entries and their last hello as soft state. The zero value is an
+	// empty table.
 	entryTable struct {
 		mu      sync.Mutex
 		entries map[string]entryRecord
@@ -36,7 +37,7 @@
 	t.entries[e.EntryId] = entryRecord{e, now}
 }
 
-// list returns the entries heard lately, in the order of their ids.
+// list returns the entries whose last hello is within entryTTL, ordered by ID.
 func (t *entryTable) list(now time.Time) []*wire.EntryStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,9 +56,9 @@
 	return list
 }
 
-// listIfChanged returns the entries and their digest, or the digest alone where it is the
-// known one. With all entries in each answer, what entries and replicas tell each
-// other grows with the square of the entries.
+// listIfChanged returns the entries and their digest, or only the digest if it is the known
+// one. Traffic would grow with the square of the number of entries if each response listed
+// all of them.
 func (t *entryTable) listIfChanged(known uint64, now time.Time) ([]*wire.EntryStatus, uint64) {
 	digest := t.digest(now)
 	if digest == known {
@@ -66,14 +67,15 @@
 	return t.list(now), digest
 }
 
-// digest tells apart which entries were heard lately and where they are; it isn't 0.
+// digest returns a hash of the IDs, addresses and failure domains of the listed entries. It
+// is never 0.
 func (t *entryTable) digest(now time.Time) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sum := uint64(0)
 	for _, e := range t.entries {
 		if now.Sub(e.lastSeen) <= entryTTL {
-			// Added up, since a map has no order.
+			// A sum doesn't depend on the order of iteration.
 			sum += xxhash.Sum64String(e.status.EntryId + "\x00" + e.status.Address + "\x00" + e.status.FailureDomain)
 		}
 	}
--- a/internal/run/ctrl/jobs.go
+++ b/internal/run/ctrl/jobs.go
@@ -1,4 +1,4 @@
-// This file defines how a control replica serves jobs.
+// This file defines how a control replica serves JobService.
 
 package ctrl
 
@@ -23,7 +23,7 @@
 	defaultListLimit = 100
 	maxListLimit     = 10000
 	maxCancelledJobs = 10000
-	// watchPoll is how often a watch looks whether this replica still leads.
+	// watchPoll is how often a watch checks that this replica is still the leader.
 	watchPoll = time.Second
 )
 
@@ -33,8 +33,8 @@
 		*Control
 	}
 
-	// watchTable wakes those who watch a job. Notify is called on the loop
-	// while a replica applies. The zero value is empty.
+	// watchTable holds the watchers of jobs. notify is called on the event loop while a
+	// command is applied. The zero value is an empty table.
 	watchTable struct {
 		mu       sync.Mutex
 		watchers map[string]map[chan struct{}]bool
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// copyJob copies a job on the loop, since only there it may be read.
+// copyJob copies a job on the event loop, where alone it may be accessed.
 func (s *jobService) copyJob(ctx context.Context, id string, into **wire.Job) error {
 	return statusError(s.node.Do(ctx, func() {
 		if j := s.machine.Job(id); j != nil {
@@ -87,7 +87,7 @@
 	}))
 }
 
-// refusalStatus makes a status of why the state refused a command.
+// refusalStatus converts the error of a rejected command into a status.
 func refusalStatus(err error) error {
 	switch {
 	case err == nil:
@@ -101,7 +101,7 @@
 	}
 }
 
-// Get gives a job as of no earlier than the call.
+// Get returns a job with a linearizable read.
 func (s *jobService) Get(ctx context.Context, r *wire.GetRequest) (*wire.GetResponse, error) {
 	if err := s.checkStarted(); err != nil {
 		return nil, err
@@ -121,7 +121,7 @@
 	return answer, nil
 }
 
-// List gives jobs in submission order.
+// List returns jobs in the order of submission.
 func (s *jobService) List(ctx context.Context, r *wire.ListRequest) (*wire.ListResponse, error) {
 	if err := s.checkStarted(); err != nil {
 		return nil, err
@@ -143,8 +143,8 @@
 	return answer, statusError(err)
 }
 
-// Cancel commits the cancellation of jobs. Running ones end once their worker
-// has stopped them.
+// Cancel commits the cancellation of jobs. Running jobs end when their workers have
+// stopped them.
 func (s *jobService) Cancel(ctx context.Context, r *wire.CancelRequest) (*wire.CancelResponse, error) {
 	if err := s.checkStarted(); err != nil {
 		return nil, err
@@ -170,30 +170,30 @@
 	return answer, statusError(err)
 }
 
-// Watch sends a job whenever it has changed, until it has ended.
+// Watch sends a job each time that it has changed, until it has ended.
 func (s *jobService) Watch(r *wire.WatchRequest, stream grpc.ServerStreamingServer[wire.WatchResponse]) error {
 	if err := s.checkStarted(); err != nil {
 		return err
 	}
-	wake, cancel := s.watchers.watch(r.JobId)
+	changed, cancel := s.watchers.watch(r.JobId)
 	defer cancel()
 	var last *wire.Job
 	for {
-		got, err := s.Get(stream.Context(), &wire.GetRequest{JobId: r.JobId})
+		response, err := s.Get(stream.Context(), &wire.GetRequest{JobId: r.JobId})
 		if err != nil {
 			return err
 		}
-		if !proto.Equal(got.Job, last) {
-			if err := stream.Send(&wire.WatchResponse{Job: got.Job}); err != nil {
+		if !proto.Equal(response.Job, last) {
+			if err := stream.Send(&wire.WatchResponse{Job: response.Job}); err != nil {
 				return err
 			}
-			last = got.Job
+			last = response.Job
 		}
-		if state.Ended(got.Job) {
+		if state.Ended(response.Job) {
 			return nil
 		}
 		select {
-		case <-wake:
+		case <-changed:
 		case <-s.clock.After(watchPoll):
 		case <-s.closing:
 			return status.Error(codes.Unavailable, "stopping")
@@ -207,16 +207,18 @@
 func (t *watchTable) notify(j *wire.Job) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for wake := range t.watchers[j.JobId] {
+	for changed := range t.watchers[j.JobId] {
 		select {
-		case wake <- struct{}{}:
+		case changed <- struct{}{}:
 		default:
 		}
 	}
 }
 
+// watch registers a watcher of a job. It returns the channel on which the watcher is
+// notified, and a function that removes it.
 func (t *watchTable) watch(job string) (<-chan struct{}, func()) {
-	wake := make(chan struct{}, 1)
+	changed := make(chan struct{}, 1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.watchers == nil {
@@ -225,11 +227,11 @@
 	if t.watchers[job] == nil {
 		t.watchers[job] = map[chan struct{}]bool{}
 	}
-	t.watchers[job][wake] = true
-	return wake, func() {
+	t.watchers[job][changed] = true
+	return changed, func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		delete(t.watchers[job], wake)
+		delete(t.watchers[job], changed)
 		if len(t.watchers[job]) == 0 {
 			delete(t.watchers, job)
 		}
--- a/internal/run/ctrl/membership.go
+++ b/internal/run/ctrl/membership.go
@@ -1,4 +1,4 @@
-// This file defines how the membership looks after itself.
+// This file defines the automatic reconciliation of the membership.
 
 package ctrl
 
@@ -11,23 +11,22 @@
 )
 
 const (
-	// membershipInterval is how often the leader looks at who waits to be let
-	// in.
+	// membershipInterval is how often the leader reconciles the membership.
 	membershipInterval = 100 * time.Millisecond
-	// maxMembers bounds voters and learners together. Learners beyond the
-	// voters only follow; each costs the leader its share of messages.
+	// maxMembers bounds the number of voters and learners. Each learner adds to the
+	// leader's replication load.
 	maxMembers = 9
-	// voterTimeout is how long a voter is silent before one that stands by takes
-	// its place: longer than a restart takes, shorter than the users let pass
-	// between two losses that count one by one (4 s after a replacement came).
+	// voterTimeout is how long a voter may be unresponsive before a learner replaces it. It
+	// is longer than a restart, and short enough to replace the voter before the next loss
+	// that must be tolerated.
 	voterTimeout = 3 * time.Second
-	// leaderTimeout is how long a replica hears of no leader before it asks whether
-	// it was put out.
+	// leaderTimeout is how long a member may know no leader before it asks to join again,
+	// in case it was removed.
 	leaderTimeout = 3 * time.Second
 )
 
-// hasEnoughVoters tells whether all that is acknowledged survives the losses that
-// the settings name. Before that nothing may be acknowledged.
+// hasEnoughVoters reports whether acknowledged data survives the configured number of
+// losses. Otherwise nothing may be acknowledged.
 func (c *Control) hasEnoughVoters(m *wire.Membership) bool {
 	if c.settings.ToleratedLosses == 0 {
 		return true
@@ -47,16 +46,16 @@
 	return voters
 }
 
-// reconcileMembership lets replicas in without an operator, one change at a time:
-// a replica that lost its disk takes the place of its old identity, others
-// vote until there are enough.
+// reconcileMembership adds and replaces members without an operator, one change at a time.
+// A replica that lost its disk replaces its old identity; learners are promoted until
+// there are enough voters.
 func (c *Control) reconcileMembership(now time.Time) {
 	if c.settings.ToleratedLosses == 0 || now.Sub(c.membershipReconciledAt) < membershipInterval {
 		return
 	}
 	c.membershipReconciledAt = now
 	core := c.node.Core()
-	if _, leads := c.node.IsLeader(); !leads || core.MembershipCommitted() != nil {
+	if _, isLeader := c.node.IsLeader(); !isLeader || core.MembershipCommitted() != nil {
 		return
 	}
 	change, err := c.applyNextChange(core.Members())
@@ -72,15 +71,16 @@
 	}
 }
 
-// applyNextChange makes one change that is due, and names it.
+// applyNextChange makes the next necessary change and returns its description, or "" if
+// none is necessary.
 func (c *Control) applyNextChange(m *wire.Membership) (string, error) {
 	core := c.node.Core()
 	for _, learner := range m.Members {
 		if learner.Voter {
 			continue
 		}
-		if newer := c.pendingJoinAt(learner.Address); newer != nil && newer.ReplicaId != learner.ReplicaId {
-			return "remove learner " + learner.Name + ", whose disk is gone", core.Remove(learner.ReplicaId)
+		if joining := c.pendingJoinAt(learner.Address); joining != nil && joining.ReplicaId != learner.ReplicaId {
+			return "remove learner " + learner.Name + ", whose disk was lost", core.Remove(learner.ReplicaId)
 		}
 		if old := voterAt(m, learner.Address); old != nil {
 			return "replace the lost disk of " + old.Name, core.Replace(old.ReplicaId, learner.ReplicaId)
@@ -88,24 +88,24 @@
 		if core.CaughtUp(learner.ReplicaId) != nil || c.node.SinceLastResponse(learner.ReplicaId) > membershipInterval {
 			continue
 		}
-		if gone := c.unresponsiveVoter(m); gone != nil && countVoters(m) >= c.requiredVoters() {
-			return "put out silent " + gone.Name + " for " + learner.Name, core.Remove(gone.ReplicaId)
+		if unresponsive := c.unresponsiveVoter(m); unresponsive != nil && countVoters(m) >= c.requiredVoters() {
+			return "remove unresponsive " + unresponsive.Name + " in favor of " + learner.Name, core.Remove(unresponsive.ReplicaId)
 		}
 		if countVoters(m) < c.requiredVoters() {
 			return "give " + learner.Name + " a vote", core.Promote(learner.ReplicaId)
 		}
 	}
-	for _, w := range c.bootstrapper.PendingJoins() {
-		if len(m.Members) < maxMembers || voterAt(m, w.Address) != nil {
-			return "let " + w.Name + " learn", core.AddLearner(w)
+	for _, joining := range c.bootstrapper.PendingJoins() {
+		if len(m.Members) < maxMembers || voterAt(m, joining.Address) != nil {
+			return "add learner " + joining.Name, core.AddLearner(joining)
 		}
 	}
 	return "", nil
 }
 
-// unresponsiveVoter returns a voter that has been silent for long, or nil. It may come
-// back with its vote, so it is put out first and its place given after that,
-// each by a change of its own; replacing it in one step is only for a lost disk.
+// unresponsiveVoter returns a voter that has been unresponsive for voterTimeout, or nil. It
+// may return with its vote. Therefore it is removed first, and the learner promoted by a
+// separate change; only a lost disk is replaced in a single change.
 func (c *Control) unresponsiveVoter(m *wire.Membership) *wire.ControlMember {
 	for _, member := range m.Members {
 		if member.Voter && c.node.SinceLastResponse(member.ReplicaId) > voterTimeout {
@@ -115,11 +115,11 @@
 	return nil
 }
 
-// pendingJoinAt returns the replica at an address that asks to be let in, or nil.
+// pendingJoinAt returns the replica at an address that asks to join, or nil.
 func (c *Control) pendingJoinAt(address string) *wire.ControlMember {
-	for _, w := range c.bootstrapper.PendingJoins() {
-		if w.Address == address {
-			return w
+	for _, joining := range c.bootstrapper.PendingJoins() {
+		if joining.Address == address {
+			return joining
 		}
 	}
 	return nil
--- a/internal/run/ctrl/memory.go
+++ b/internal/run/ctrl/memory.go
@@ -1,4 +1,4 @@
-// This file defines how a control process keeps within its memory.
+// This file defines the memory limit of a control process.
 
 package ctrl
 
@@ -8,18 +8,17 @@
 )
 
 const (
-	// gcPercent lets the heap grow to three times what is in use before it is collected:
-	// collecting takes processor time, and slows all else while it lasts.
+	// gcPercent lets the heap grow to three times the live data between collections, which
+	// saves CPU time.
 	gcPercent = 200
-	// heapShare is the part of its memory that a process fills before it collects sooner.
-	// The rest is for bytes that have arrived and weren't read, and for what is allocated
-	// while a collection runs.
+	// heapShare is the fraction of the memory limit that is given to the Go runtime. The
+	// rest is for socket buffers and for allocations during a collection.
 	heapShare = 0.7
 	megabyte  = 1 << 20
 )
 
-// limitMemory has garbage collected as seldom as the memory allows; 0 megabytes is as
-// much as there is. What the environment says of it goes first.
+// limitMemory configures the garbage collector to run as rarely as the memory limit
+// allows; 0 means no limit. GOGC and GOMEMLIMIT take precedence.
 func limitMemory(megabytes uint32) {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(gcPercent)
--- a/internal/run/ctrl/operator.go
+++ b/internal/run/ctrl/operator.go
@@ -1,4 +1,4 @@
-// This file defines how a control replica serves operators.
+// This file defines how a control replica serves OperatorService.
 
 package ctrl
 
@@ -17,14 +17,12 @@
 )
 
 const (
-	// inForceWait is how long an accepted configuration's answer waits for
-	// the entries to say that they have it.
+	// inForceWait bounds the wait for all entries to apply an accepted configuration.
 	inForceWait = 1500 * time.Millisecond
 	inForcePoll = 20 * time.Millisecond
-	// memberPoll is how often a change of membership looks whether its next
-	// step can be taken.
+	// memberPoll is how often a step of a membership change is retried.
 	memberPoll = 50 * time.Millisecond
-	// maxHistory is the most versions that history shows.
+	// maxHistory bounds the number of returned configuration versions.
 	maxHistory = 200
 )
 
@@ -35,8 +33,8 @@
 
 var _ wire.OperatorServiceServer = (*operatorService)(nil)
 
-// ApplyConfiguration commits a configuration and waits a little until all
-// entries have it in force.
+// ApplyConfiguration commits a configuration and waits, up to inForceWait, until all
+// entries have applied it.
 func (s *operatorService) ApplyConfiguration(ctx context.Context, r *wire.ApplyConfigurationRequest) (*wire.ApplyConfigurationResponse, error) {
 	if err := s.checkStarted(); err != nil {
 		return nil, err
@@ -61,6 +59,7 @@
 	return answer, nil
 }
 
+// waitInForce returns the IDs of the entries that have applied a version.
 func (s *operatorService) waitInForce(ctx context.Context, version uint64) []string {
 	deadline := s.clock.Now().Add(inForceWait)
 	for {
@@ -78,7 +77,7 @@
 	}
 }
 
-// GetConfiguration gives the version in force.
+// GetConfiguration returns the current version.
 func (s *operatorService) GetConfiguration(ctx context.Context, _ *wire.GetConfigurationRequest) (*wire.GetConfigurationResponse, error) {
 	if err := s.checkStarted(); err != nil {
 		return nil, err
@@ -87,7 +86,7 @@
 	return answer, statusError(s.node.Read(ctx, func() { answer.Current = s.machine.Configuration() }))
 }
 
-// ListConfigurationHistory gives past versions, the newest first.
+// ListConfigurationHistory returns past versions, newest first.
 func (s *operatorService) ListConfigurationHistory(ctx context.Context, r *wire.ListConfigurationHistoryRequest) (*wire.ListConfigurationHistoryResponse, error) {
 	if err := s.checkStarted(); err != nil {
 		return nil, err
@@ -100,7 +99,8 @@
 	return answer, statusError(s.node.Read(ctx, func() { answer.Versions = s.machine.History(limit) }))
 }
 
-// ListWorkers gives the registered workers and what is committed on them.
+// ListWorkers returns the registered and the quarantined workers with their committed
+// resources.
 func (s *operatorService) ListWorkers(ctx context.Context, _ *wire.ListWorkersRequest) (*wire.ListWorkersResponse, error) {
 	if err := s.checkStarted(); err != nil {
 		return nil, err
@@ -126,7 +126,7 @@
 	return answer, statusError(err)
 }
 
-// QuarantineWorker puts a worker aside or takes it back.
+// QuarantineWorker quarantines or releases a worker.
 func (s *operatorService) QuarantineWorker(ctx context.Context, r *wire.QuarantineWorkerRequest) (*wire.QuarantineWorkerResponse, error) {
 	if err := s.checkStarted(); err != nil {
 		return nil, err
@@ -143,7 +143,7 @@
 	return &wire.QuarantineWorkerResponse{}, statusError(err)
 }
 
-// ListControlMembers gives the membership and who waits to be let in.
+// ListControlMembers returns the members and the replicas that ask to join.
 func (s *operatorService) ListControlMembers(ctx context.Context, _ *wire.ListControlMembersRequest) (*wire.ListControlMembersResponse, error) {
 	if err := s.checkStarted(); err != nil {
 		return nil, err
@@ -157,12 +157,11 @@
 	return answer, statusError(err)
 }
 
-// ChangeControlMember adds a waiting replica, removes a member, or replaces
-// one by the other. Each step is a change of its own and is committed before
-// the next. To replace, the new replica first catches up without a vote; then
-// the old one goes and the new one gets its vote, so that a second loss right
-// after finds a voter that holds everything. A change whose answer was lost is
-// simply asked for again.
+// ChangeControlMember adds a replica that asks to join, removes a member, or replaces a
+// member by such a replica. Each step is a separate change and is committed before the
+// next one. For a replacement the new replica first catches up as a learner, then the old
+// member is removed and the new one promoted, so that it has the whole log when it starts
+// to vote. The call is idempotent.
 func (s *operatorService) ChangeControlMember(ctx context.Context, r *wire.ChangeControlMemberRequest) (*wire.ChangeControlMemberResponse, error) {
 	if err := s.checkStarted(); err != nil {
 		return nil, err
@@ -189,7 +188,7 @@
 			if err := c.Remove(r.RemoveReplicaId); !errors.Is(err, quorum.ErrUnknownMember) {
 				return err
 			}
-			return nil // removed by an earlier try
+			return nil // removed by an earlier call
 		})
 		if err != nil {
 			return nil, err
@@ -204,8 +203,8 @@
 	return answer, statusError(s.node.Do(ctx, func() { answer.Members = s.node.Core().Members().GetMembers() }))
 }
 
-// candidate finds the replica to add among those waiting, or among the
-// learners of an earlier try.
+// candidate returns the replica to add: one that asks to join, or a learner added by an
+// earlier call.
 func (s *operatorService) candidate(ctx context.Context, name string) (*wire.ControlMember, error) {
 	for _, m := range s.bootstrapper.PendingJoins() {
 		if m.Name == name {
@@ -229,24 +228,25 @@
 	return found, nil
 }
 
-// changeMembership makes one change once the change before it is committed, and waits
+// changeMembership makes one change after the previous change is committed, and waits
 // until it is committed itself.
 func (s *operatorService) changeMembership(ctx context.Context, change func(*quorum.Core) error) error {
 	return s.pollSteps(ctx, func(c *quorum.Core) error { return change(c) }, func(c *quorum.Core) error { return c.MembershipCommitted() })
 }
 
-// awaitCaughtUp waits until the learner could be promoted.
+// awaitCaughtUp waits until a learner can be promoted.
 func (s *operatorService) awaitCaughtUp(ctx context.Context, id uint64) error {
 	return s.pollSteps(ctx, func(c *quorum.Core) error { return c.CaughtUp(id) })
 }
 
-// pollSteps runs each step on the loop until it no longer asks for patience.
+// pollSteps runs each step on the event loop, and repeats it while a membership change is
+// pending or a learner isn't ready.
 func (s *operatorService) pollSteps(ctx context.Context, steps ...func(*quorum.Core) error) error {
 	for _, step := range steps {
 		for {
 			var err error
-			if lost := s.node.Do(ctx, func() { err = step(s.node.Core()) }); lost != nil {
-				return statusError(lost)
+			if loopErr := s.node.Do(ctx, func() { err = step(s.node.Core()) }); loopErr != nil {
+				return statusError(loopErr)
 			}
 			if err == nil {
 				break
@@ -271,7 +271,7 @@
 	return status.Error(codes.FailedPrecondition, err.Error())
 }
 
-// GetStatus gives the counts that an operator looks at first.
+// GetStatus returns an overview of the cluster.
 func (s *operatorService) GetStatus(ctx context.Context, _ *wire.GetStatusRequest) (*wire.GetStatusResponse, error) {
 	if err := s.checkStarted(); err != nil {
 		return nil, err
--- a/internal/run/ctrl/peer.go
+++ b/internal/run/ctrl/peer.go
@@ -1,4 +1,4 @@
-// This file defines what control replicas and entries ask of a control replica.
+// This file defines how a control replica serves other replicas and entries.
 
 package ctrl
 
@@ -21,23 +21,22 @@
 )
 
 const (
-	// entryTTL is how long an entry counts as running after its last hello.
+	// entryTTL is how long an entry is listed after its last hello.
 	entryTTL = 3 * time.Second
-	// helloPollTimeout is how long a hello is held while there is no news. News end
-	// it at once, so that this only sets how soon an entry misses a replica;
-	// each hello costs about 1.5 KB and 0.2 ms of a processor at either end.
+	// helloPollTimeout is how long a hello waits for a change. It determines how soon an
+	// entry notices the loss of a replica; a shorter one causes more messages.
 	helloPollTimeout = 700 * time.Millisecond
-	// leaderCheckInterval is how often a relay stream asks whether this replica still
-	// leads, so that entries move on soon after a change.
+	// leaderCheckInterval is how often a relay stream checks that this replica still
+	// leads, so that entries reconnect soon after a leader change.
 	leaderCheckInterval = 200 * time.Millisecond
-	// answerQueueSize bounds the answers waiting for one entry. What is
-	// dropped is sent again with the answer to a worker's next report.
+	// answerQueueSize bounds the answers waiting for one entry. A dropped answer is
+	// replaced by the answer to the worker's next report.
 	answerQueueSize = 4096
-	// notExecuted begins the messages of refusals after which nothing was done;
-	// entries tell them by it from connections that broke.
+	// notExecuted is the prefix of error messages for calls that were not executed. Entries
+	// use it to distinguish such errors from broken connections.
 	notExecuted = uplink.NotExecuted
-	// dispatchRetention is how long a dispatch record outlives its request's
-	// deadline; a caller may ask until then what became of it.
+	// dispatchRetention is how long a dispatch record is kept after its request's
+	// deadline, to answer resends.
 	dispatchRetention = 10 * time.Minute
 )
 
@@ -67,7 +66,7 @@
 	wire.RegisterWorkServiceServer(c.server, &workService{Control: c})
 }
 
-// checkStarted tells callers who come before the cluster is founded to come again.
+// checkStarted returns an error until this replica is part of a cluster.
 func (c *Control) checkStarted() error {
 	if !c.running.Load() || c.view.Load().members == nil {
 		return status.Error(codes.Unavailable, notExecuted+"this replica isn't part of a cluster yet")
@@ -75,7 +74,7 @@
 	return nil
 }
 
-// Exchange takes the messages of another replica.
+// Exchange receives the messages of another replica.
 func (s *peerService) Exchange(stream grpc.ClientStreamingServer[wire.ExchangeRequest, wire.ExchangeResponse]) error {
 	for {
 		select {
@@ -96,12 +95,13 @@
 	}
 }
 
-// Identify tells who this replica is.
+// Identify returns this replica's identity.
 func (s *peerService) Identify(_ context.Context, r *wire.IdentifyRequest) (*wire.IdentifyResponse, error) {
 	return s.bootstrapper.Identify(r), nil
 }
 
-// Hello hears an entry and tells it who leads and what is in force.
+// Hello records an entry and returns the leader, the members, the configuration version,
+// the drained failure domains and the other entries.
 func (s *controlService) Hello(ctx context.Context, r *wire.HelloRequest) (*wire.HelloResponse, error) {
 	if r.GetEntry().GetEntryId() == "" {
 		return nil, status.Error(codes.InvalidArgument, "Entry.EntryId is empty")
@@ -116,8 +116,8 @@
 	return answer, nil
 }
 
-// awaitChange holds a hello until there is something the entry doesn't know, so
-// that a change reaches all entries at once without more messages.
+// awaitChange blocks a hello until there is something that the entry doesn't know, so that
+// all entries learn of a change without delay.
 func (s *controlService) awaitChange(ctx context.Context, r *wire.HelloRequest) *view {
 	v := s.view.Load()
 	deadline := s.clock.After(helloPollTimeout)
@@ -136,9 +136,9 @@
 	return v
 }
 
-// FetchConfiguration gives the configuration applied here. A quorum-confirmed
-// one is what an entry needs that has none yet: a replica that lags would hand
-// it one from before a change that is in force already.
+// FetchConfiguration returns the configuration applied by this replica. An entry without
+// a configuration needs a quorum-confirmed one, since a lagging replica may return one
+// older than what other entries use.
 func (s *controlService) FetchConfiguration(ctx context.Context, r *wire.FetchConfigurationRequest) (*wire.FetchConfigurationResponse, error) {
 	if err := s.checkStarted(); err != nil {
 		return nil, err
@@ -151,7 +151,7 @@
 	return answer, statusError(s.node.Do(ctx, read))
 }
 
-// RelayWorkers hears the workers that attend at one entry.
+// RelayWorkers serves the workers that are connected to one entry.
 func (s *controlService) RelayWorkers(stream grpc.BidiStreamingServer[wire.RelayWorkersRequest, wire.RelayWorkersResponse]) error {
 	if err := s.checkStarted(); err != nil {
 		return err
@@ -203,6 +203,7 @@
 	}
 }
 
+// batch returns first and all answers waiting in more.
 func batch(first *wire.WorkerAnswer, more chan *wire.WorkerAnswer) []*wire.WorkerAnswer {
 	answers := []*wire.WorkerAnswer{first}
 	for {
@@ -222,15 +223,15 @@
 	}
 	ctx, span := spans.StartSpan(ctx, "commit")
 	defer span.End()
-	keep := s.clock.Now().Add(r.Timeout.AsDuration() + dispatchRetention)
+	keepUntil := s.clock.Now().Add(r.Timeout.AsDuration() + dispatchRetention)
 	result, err := s.node.Commit(ctx, &wire.Command{Body: &wire.Command_OpenDispatch{OpenDispatch: &wire.DispatchRecord{
 		ClientAccount: r.ClientAccount, RequestId: r.RequestId, EntryId: r.EntryId, Nonce: r.Nonce,
-		KeepUntil: timestamppb.New(keep),
+		KeepUntil: timestamppb.New(keepUntil),
 	}}})
 	return result.Dispatch, statusError(err)
 }
 
-// CloseDispatch records how the request went.
+// CloseDispatch records the outcome of the request.
 func (s *controlService) CloseDispatch(ctx context.Context, r *wire.CloseDispatchRequest) (*wire.CloseDispatchResponse, error) {
 	if err := s.checkStarted(); err != nil {
 		return nil, err
@@ -241,8 +242,8 @@
 	return &wire.CloseDispatchResponse{}, statusError(err)
 }
 
-// statusError makes a status of the replica's errors. Unavailable means nothing was
-// done; Aborted means it may have been.
+// statusError converts an error of the replica into a status. Unavailable means that the
+// command was not executed, Aborted that it may have been.
 func statusError(err error) error {
 	switch {
 	case err == nil:
--- a/internal/run/ctrl/report.go
+++ b/internal/run/ctrl/report.go
@@ -1,4 +1,4 @@
-// This file defines how a control replica takes heartbeats of agents.
+// This file defines how a control replica handles the heartbeats of agents.
 
 package ctrl
 
@@ -16,7 +16,8 @@
 	"sycamoredeck.example/internal/store/node"
 )
 
-// desk answers here while this replica leads, and asks the leader otherwise.
+// desk returns a Desk that handles calls locally while this replica is the leader, and
+// forwards them to the leader otherwise.
 func (c *Control) desk() desk.Desk {
 	local := &workService{Control: c}
 	remote := desk.Remote(func() (desk.Conn, error) {
@@ -27,12 +28,12 @@
 		return c.pool.Conn(leader)
 	})
 	d := desk.Choose(func() bool { return c.view.Load().isLeader }, desk.Local(local), remote)
-	toLeader := d.Report
+	report := d.Report
 	d.Report = func(ctx context.Context, r *wire.ReportAgentRequest) (*wire.ReportAgentResponse, error) {
 		if c.isRedundant(ctx, r) {
 			return c.reportResponse(), nil
 		}
-		if _, err := toLeader(ctx, r); err != nil {
+		if _, err := report(ctx, r); err != nil {
 			return nil, err
 		}
 		return c.reportResponse(), nil
@@ -40,26 +41,25 @@
 	return d
 }
 
-// reportResponse is the answer to a heartbeat that was taken. Later ones are best sent to
-// the same replica, whichever it is: if all went to the leader, those of 1,800 agents
-// took 1,640 calls a second and as many connections of its.
+// reportResponse returns the response to an accepted heartbeat. It directs the agent's next
+// heartbeats to this replica, leader or not, so that they don't all load the leader.
 func (c *Control) reportResponse() *wire.ReportAgentResponse {
 	return &wire.ReportAgentResponse{ReportAddress: c.settings.GetWeb().GetWebAddress()}
 }
 
-// isRedundant tells, on a replica that doesn't lead, whether a heartbeat says no more
-// than what is committed. The leader then has nothing to learn from it, since it reads
-// the same log; whether the agent is there it finds out by its leases.
+// isRedundant reports whether this replica is a follower and a heartbeat contains nothing
+// beyond the committed state. The leader doesn't need such a heartbeat: it has the same
+// state and detects the loss of the agent by its lease.
 func (c *Control) isRedundant(ctx context.Context, r *wire.ReportAgentRequest) bool {
 	if c.view.Load().isLeader {
 		return false
 	}
-	known := false
-	err := c.node.Do(ctx, func() { known = c.engine.IsRedundant(r) })
-	return err == nil && known
+	redundant := false
+	err := c.node.Do(ctx, func() { redundant = c.engine.IsRedundant(r) })
+	return err == nil && redundant
 }
 
-// ReportAgent takes a heartbeat.
+// ReportAgent handles a heartbeat on the leader.
 func (s *workService) ReportAgent(ctx context.Context, r *wire.ReportAgentRequest) (*wire.ReportAgentResponse, error) {
 	if err := s.checkReady(); err != nil {
 		return nil, err
--- a/internal/run/ctrl/work.go
+++ b/internal/run/ctrl/work.go
@@ -1,5 +1,5 @@
-// This file defines how a control replica serves jobs of steps and reaches
-// agents.
+// This file defines how a control replica serves WorkService and connects the scheduling
+// engine with agents.
 
 package ctrl
 
@@ -24,23 +24,23 @@
 )
 
 const (
-	// compactInterval is how often jobs that ended long ago are looked for.
-	compactInterval = 10 * time.Second
+	// retentionInterval is how often finished jobs are checked for removal.
+	retentionInterval = 10 * time.Second
 )
 
 var jobSeconds = metrics.NewHistogram("sycamoredeck_job_seconds")
 
 type (
-	// Platform connects a control process with agents and operators that
-	// don't speak its gRPC interface. The zero value connects with none.
+	// Platform connects a control process with agents and operators that don't use its
+	// gRPC interface. The zero value connects with none.
 	Platform struct {
-		// SendOrder takes an order to its agent and returns what became of it. It
-		// is called on a goroutine of its own.
+		// SendOrder sends an order to its agent and returns the answer. Each call has its
+		// own goroutine.
 		SendOrder func(context.Context, drive.Order) drive.Answer
-		// Advise asks the outside service at the address of the settings which
-		// agents may run a step. It is called on a goroutine of its own.
+		// Advise asks the external service at an address which agents may run a step. Each
+		// call has its own goroutine.
 		Advise func(context.Context, string, drive.AdviceRequest) drive.AdviceAnswer
-		// Serve starts to serve operators and agents, and returns how to stop.
+		// Serve starts serving operators and agents.
 		Serve func(*wire.ControlSettings, files.Budget, desk.Desk) (stop func(), err error)
 	}
 
@@ -53,7 +53,7 @@
 var _ wire.WorkServiceServer = (*workService)(nil)
 
 func (c *Control) startEngine() error {
-	off, err := drive.ParseFeatures(c.settings.SwitchedOff)
+	disabled, err := drive.ParseFeatures(c.settings.SwitchedOff)
 	if err != nil {
 		return err
 	}
@@ -63,56 +63,56 @@
 		Lease:           min(c.settings.AgentLease.AsDuration(), c.settings.MaxAgentLease.AsDuration()),
 		StopGrace:       c.settings.StopGrace.AsDuration(),
 		OtherRackFactor: c.settings.OtherRackFactor, MaxConnections: files.NewBudget(c.settings.MaxOpenFiles).Agents,
-		Advise: c.requestAdvice, Disabled: off, Logger: c.logger,
+		Advise: c.requestAdvice, Disabled: disabled, Logger: c.logger,
 	})
 	c.machine.Graph().OnJobFinished = c.recordJobFinished
-	c.background.Go(c.compactLoop)
+	c.background.Go(c.retentionLoop)
 	return nil
 }
 
-// recordJobFinished logs a job's end, once: where it is led from.
+// recordJobFinished records the metric and the log line of a finished job. Every replica
+// applies the command; only the leader records it.
 func (c *Control) recordJobFinished(j *graph.Job) {
-	if _, leads := c.node.IsLeader(); !leads {
+	if _, isLeader := c.node.IsLeader(); !isLeader {
 		return
 	}
-	took := j.EndedAt.Sub(j.AcceptedAt)
-	jobSeconds.Update(took.Seconds())
-	c.logger.Info("job ended", "job", j.ID, "queue", j.Queue, "state", j.State.String(), "took_ms", took.Milliseconds(), "failures", j.Failures(), "crashes", j.Crashes())
+	duration := j.EndedAt.Sub(j.AcceptedAt)
+	jobSeconds.Update(duration.Seconds())
+	c.logger.Info("job ended", "job", j.ID, "queue", j.Queue, "state", j.State.String(), "took_ms", duration.Milliseconds(), "failures", j.Failures(), "crashes", j.Crashes())
 }
 
-// scheduleTick orders the next turn for when the engine wants it: the replica's own
-// ticks are too far apart to place work by.
+// scheduleTick schedules an iteration at the time that the engine needs. The replica's
+// own ticks are too infrequent for placing work.
 func (c *Control) scheduleTick() {
-	wake := c.engine.NextTick()
-	if c.tickScheduled || wake >= c.settings.HeartbeatInterval.AsDuration()/2 {
+	wait := c.engine.NextTick()
+	if c.tickScheduled || wait >= c.settings.HeartbeatInterval.AsDuration()/2 {
 		return
 	}
 	c.tickScheduled = true
-	time.AfterFunc(max(wake, time.Millisecond), func() {
+	time.AfterFunc(max(wait, time.Millisecond), func() {
 		c.node.Post(func() { c.tickScheduled = false })
 	})
 }
 
-// engineLeads tells, on the loop, the term in which this replica may drive agents. It
-// begins once enough replicas vote. While a lost one is being replaced there is
-// one too few for a moment; driving goes on, or all that is known of agents
-// would have to be asked anew.
+// engineLeads returns the term and reports whether the engine may run in it. The engine
+// starts once there are enough voters. It continues while a lost voter is being replaced,
+// since a restart would have to poll all agents again. It is called on the event loop.
 func (c *Control) engineLeads() (uint64, bool) {
-	_, leads := c.node.IsLeader()
+	_, isLeader := c.node.IsLeader()
 	core := c.node.Core()
 	term := core.Status().Term
 	if c.platform.SendOrder != nil && c.hasEnoughVoters(core.Members()) {
 		c.engineTerm = term
 	}
-	return term, leads && c.engineTerm == term
+	return term, isLeader && c.engineTerm == term
 }
 
-// sendOrder has an order taken to its agent. The right to lead is checked last:
-// an order of a leader that was frozen or cut off must not leave beside those
-// of the next one.
+// sendOrder sends an order to its agent in the background. The leader lease is checked
+// immediately before sending, so that a leader that was paused or partitioned doesn't
+// send orders along with the next one.
 func (c *Control) sendOrder(o drive.Order) {
 	go func() {
-		answer := drive.Answer{Order: o, Verdict: drive.NotSent, Detail: "no right to lead"}
+		answer := drive.Answer{Order: o, Verdict: drive.NotSent, Detail: "no leader lease"}
 		if c.node.HoldsLeaderLease(o.Fence) {
 			answer = c.platform.SendOrder(context.Background(), o)
 			answer.Order = o
@@ -121,7 +121,7 @@
 	}()
 }
 
-// requestAdvice has the outside service asked.
+// requestAdvice asks the external service in the background.
 func (c *Control) requestAdvice(r drive.AdviceRequest) {
 	go func() {
 		answer := drive.AdviceAnswer{Detail: "no advice address is set"}
@@ -133,6 +133,7 @@
 	}()
 }
 
+// servePlatform starts the platform's server and returns how to stop it.
 func (c *Control) servePlatform() (func(), error) {
 	if c.platform.Serve == nil {
 		return func() {}, nil
@@ -142,7 +143,7 @@
 	return c.platform.Serve(c.settings, budget, c.desk())
 }
 
-// checkReady tells whether this replica may acknowledge anything.
+// checkReady returns an error unless this replica may acknowledge requests.
 func (s *workService) checkReady() error {
 	if err := s.checkStarted(); err != nil {
 		return err
@@ -157,19 +158,19 @@
 	return nil
 }
 
-// commit has a command about jobs committed and gives what it came to.
+// commit commits a command and returns its result.
 func (s *workService) commit(ctx context.Context, c *wire.WorkCommand) (state.Result, error) {
 	result, err := s.node.Commit(ctx, &wire.Command{Body: &wire.Command_Work{Work: c}})
 	return result, statusError(err)
 }
 
-// read runs f on the loop while this replica surely leads. While a confirmed
-// round is fresh no other can, and no round has to be waited for.
+// read runs f on the event loop while this replica is certainly the leader. With a valid
+// leader lease no round of messages is necessary.
 func (s *workService) read(ctx context.Context, f func()) error {
 	done := false
 	err := s.node.Do(ctx, func() {
-		_, leads := s.node.IsLeader()
-		if leads && s.node.HoldsLeaderLease(s.node.Core().Status().Term) {
+		_, isLeader := s.node.IsLeader()
+		if isLeader && s.node.HoldsLeaderLease(s.node.Core().Status().Term) {
 			f()
 			done = true
 		}
@@ -196,7 +197,7 @@
 	}
 	result, err := s.commit(ctx, &wire.WorkCommand{Body: &wire.WorkCommand_Submit{Submit: &wire.SubmitWork{Job: id, Queue: queue, Spec: r.Spec}}})
 	if err != nil {
-		s.logger.Info("job not known to be accepted", "job", id, "queue", queue, "error", err)
+		s.logger.Info("job submission not confirmed", "job", id, "queue", queue, "error", err)
 		return nil, err
 	}
 	answer := &wire.SubmitWorkResponse{Answer: answerForError(result.Err)}
@@ -207,8 +208,8 @@
 	return answer, nil
 }
 
-// resolveTarget tells which queue a target names, and the rest of its path; an empty
-// queue is none.
+// resolveTarget returns the queue of a target and the rest of its path. The queue is ""
+// if there is none.
 func (s *workService) resolveTarget(ctx context.Context, target *wire.WorkTarget) (queue, rest string, err error) {
 	if err := s.checkReady(); err != nil {
 		return "", "", err
@@ -222,6 +223,7 @@
 	return queue, rest, err
 }
 
+// answerForError returns the answer for the error of an applied command.
 func answerForError(err error) wire.WorkAnswer {
 	switch {
 	case err == nil:
@@ -237,7 +239,7 @@
 	}
 }
 
-// InspectWork gives a job's state, or a queue's pending jobs.
+// InspectWork returns the state of a job, or the number of a queue's pending jobs.
 func (s *workService) InspectWork(ctx context.Context, r *wire.InspectWorkRequest) (*wire.InspectWorkResponse, error) {
 	if err := s.checkReady(); err != nil {
 		return nil, err
@@ -270,7 +272,7 @@
 	return answer, nil
 }
 
-// CancelWork commits a job's cancellation. Its runs are stopped after that.
+// CancelWork commits the cancellation of a job. Its runs are stopped afterwards.
 func (s *workService) CancelWork(ctx context.Context, r *wire.CancelWorkRequest) (*wire.CancelWorkResponse, error) {
 	queue, id, err := s.resolveTarget(ctx, r.Target)
 	if err != nil {
@@ -287,8 +289,8 @@
 	return &wire.CancelWorkResponse{Answer: answerForError(result.Err)}, nil
 }
 
-// PutCatalog commits a catalog. One that isn't newer is acknowledged and
-// changes nothing: it is a resend, or was overtaken.
+// PutCatalog commits a catalog. A catalog that isn't newer is acknowledged without effect:
+// it was sent again or has been superseded.
 func (s *workService) PutCatalog(ctx context.Context, r *wire.PutCatalogRequest) (*wire.PutCatalogResponse, error) {
 	if r.Catalog == nil {
 		return nil, status.Error(codes.InvalidArgument, "Catalog is missing")
@@ -301,15 +303,15 @@
 		return nil, err
 	}
 	answer := &wire.PutCatalogResponse{Answer: wire.WorkAnswer_WORK_ANSWER_DONE}
-	held := false
+	notNewer := false
 	err := s.read(ctx, func() {
 		answer.Version = s.machine.Graph().Catalog().Version
-		held = answer.Version >= r.Catalog.Version
+		notNewer = answer.Version >= r.Catalog.Version
 	})
 	if err != nil {
 		return nil, err
 	}
-	if held {
+	if notNewer {
 		s.logger.Info("catalog not newer", "version", r.Catalog.Version, "in_force", answer.Version)
 		return answer, nil
 	}
@@ -321,7 +323,7 @@
 	return answer, nil
 }
 
-// GetCatalog gives the catalog in force, none being newer.
+// GetCatalog returns the current catalog.
 func (s *workService) GetCatalog(ctx context.Context, _ *wire.GetCatalogRequest) (*wire.GetCatalogResponse, error) {
 	if err := s.checkReady(); err != nil {
 		return nil, err
@@ -331,23 +333,23 @@
 	return answer, err
 }
 
-// compactLoop drops what ended longer ago than it must be known.
-func (c *Control) compactLoop() {
+// retentionLoop removes finished jobs after the retention period.
+func (c *Control) retentionLoop() {
 	for {
 		select {
 		case <-c.closing:
 			return
-		case <-c.clock.After(compactInterval):
+		case <-c.clock.After(retentionInterval):
 		}
 		before := c.clock.Now().Add(-c.settings.WorkRetention.AsDuration())
 		c.node.Post(func() {
-			if _, leads := c.node.IsLeader(); !leads || !c.machine.Graph().HasRemovableJobs(before) {
+			if _, isLeader := c.node.IsLeader(); !isLeader || !c.machine.Graph().HasRemovableJobs(before) {
 				return
 			}
 			command := &wire.WorkCommand{Body: &wire.WorkCommand_Forget{Forget: &wire.ForgetWork{EndedBefore: timestamppb.New(before)}}}
 			c.node.Propose(&wire.Command{Body: &wire.Command_Work{Work: command}}, func(_ state.Result, err error) {
 				if err != nil {
-					c.logger.Info("ended jobs not forgotten yet", "error", err)
+					c.logger.Info("finished jobs not removed", "error", err)
 				}
 			})
 		})
