--- a/internal/run/ctrl/membership.go
+++ b/internal/run/ctrl/membership.go
@@ -97,7 +97,7 @@
 	}
 	for _, joining := range c.bootstrapper.PendingJoins() {
 		if len(m.Members) < maxMembers || voterAt(m, joining.Address) != nil {
-			return "add learner " + joining.Name, core.AddLearner(joining)
+			return "add " + joining.Name + " as learner", core.AddLearner(joining)
 		}
 	}
 	return "", nil
