--- a/internal/run/ctrl/domain.go
+++ b/internal/run/ctrl/domain.go
@@ -25,14 +25,14 @@
 	if err := s.checkReady(); err != nil {
 		return nil, err
 	}
-	answer := &wire.DrainDomainResponse{Answer: wire.WorkAnswer_WORK_ANSWER_DONE}
+	response := &wire.DrainDomainResponse{Answer: wire.WorkAnswer_WORK_ANSWER_DONE}
 	unchanged := false
 	err := s.read(ctx, func() {
 		g := s.machine.Graph()
 		unchanged = g.Drained(r.FailureDomain) != r.Restore
 		for _, d := range g.Domains() {
 			if d.FailureDomain == r.FailureDomain {
-				answer.Agents = d.Agents
+				response.Agents = d.Agents
 			}
 		}
 	})
@@ -41,7 +41,7 @@
 	}
 	if unchanged {
 		s.logger.Info("failure domain unchanged", "domain", r.FailureDomain, "drained", !r.Restore)
-		return answer, nil
+		return response, nil
 	}
 	command := &wire.DrainDomain{FailureDomain: r.FailureDomain, Restore: r.Restore}
 	result, err := s.commit(ctx, &wire.WorkCommand{Body: &wire.WorkCommand_DrainDomain{DrainDomain: command}})
@@ -50,16 +50,16 @@
 		return nil, err
 	}
 	if result.Err != nil {
-		answer.Answer, answer.Reason = answerForError(result.Err), result.Err.Error()
-		return answer, nil
+		response.Answer, response.Reason = answerForError(result.Err), result.Err.Error()
+		return response, nil
 	}
 	if r.Restore {
 		domainsRestored.Inc()
 	} else {
 		domainsDrained.Inc()
 	}
-	s.logger.Info("failure domain changed", "domain", r.FailureDomain, "drained", !r.Restore, "agents", answer.Agents)
-	return answer, nil
+	s.logger.Info("failure domain changed", "domain", r.FailureDomain, "drained", !r.Restore, "agents", response.Agents)
+	return response, nil
 }
 
 // ListDomains returns the failure domains that have agents or are drained.
@@ -67,7 +67,7 @@
 	if err := s.checkReady(); err != nil {
 		return nil, err
 	}
-	answer := &wire.ListDomainsResponse{}
-	err := s.read(ctx, func() { answer.Domains = s.machine.Graph().Domains() })
-	return answer, err
+	response := &wire.ListDomainsResponse{}
+	err := s.read(ctx, func() { response.Domains = s.machine.Graph().Domains() })
+	return response, err
 }
--- a/internal/run/ctrl/jobs.go
+++ b/internal/run/ctrl/jobs.go
@@ -62,8 +62,8 @@
 	if err != nil {
 		return nil, statusError(err)
 	}
-	answer := &wire.SubmitResponse{Duplicate: result.Duplicate}
-	return answer, s.copyJob(ctx, result.Job.JobId, &answer.Job)
+	response := &wire.SubmitResponse{Duplicate: result.Duplicate}
+	return response, s.copyJob(ctx, result.Job.JobId, &response.Job)
 }
 
 func checkSubmit(r *wire.SubmitRequest, maxPayload int) error {
@@ -106,19 +106,19 @@
 	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
-	answer := &wire.GetResponse{}
+	response := &wire.GetResponse{}
 	err := s.node.Read(ctx, func() {
 		if j := s.machine.Job(r.JobId); j != nil {
-			answer.Job = proto.Clone(j).(*wire.Job)
+			response.Job = proto.Clone(j).(*wire.Job)
 		}
 	})
 	if err != nil {
 		return nil, statusError(err)
 	}
-	if answer.Job == nil {
+	if response.Job == nil {
 		return nil, status.Errorf(codes.NotFound, "no such job: %q", r.JobId)
 	}
-	return answer, nil
+	return response, nil
 }
 
 // List returns jobs in the order of submission.
@@ -130,17 +130,17 @@
 	if limit == 0 {
 		limit = defaultListLimit
 	}
-	answer := &wire.ListResponse{}
+	response := &wire.ListResponse{}
 	err := s.node.Read(ctx, func() {
 		var after uint64
 		if j := s.machine.Job(r.AfterJobId); j != nil {
 			after = j.Sequence
 		}
 		for _, j := range s.machine.Jobs(r.ClientAccount, r.State, after, min(limit, maxListLimit)) {
-			answer.Jobs = append(answer.Jobs, proto.Clone(j).(*wire.Job))
+			response.Jobs = append(response.Jobs, proto.Clone(j).(*wire.Job))
 		}
 	})
-	return answer, statusError(err)
+	return response, statusError(err)
 }
 
 // Cancel commits the cancellation of jobs. Running jobs end when their workers have
@@ -159,15 +159,15 @@
 	if err != nil {
 		return nil, statusError(err)
 	}
-	answer := &wire.CancelResponse{}
+	response := &wire.CancelResponse{}
 	err = s.node.Do(ctx, func() {
 		for _, id := range r.JobIds {
 			if j := s.machine.Job(id); j != nil {
-				answer.Jobs = append(answer.Jobs, proto.Clone(j).(*wire.Job))
+				response.Jobs = append(response.Jobs, proto.Clone(j).(*wire.Job))
 			}
 		}
 	})
-	return answer, statusError(err)
+	return response, statusError(err)
 }
 
 // Watch sends a job each time that it has changed, until it has ended.
--- a/internal/run/ctrl/operator.go
+++ b/internal/run/ctrl/operator.go
@@ -52,11 +52,11 @@
 	if err != nil {
 		return nil, statusError(err)
 	}
-	answer := result.Apply
-	if answer.Outcome == wire.ApplyOutcome_APPLY_OUTCOME_APPLIED {
-		answer.InForceAt = s.waitInForce(ctx, answer.Current.Version)
+	response := result.Apply
+	if response.Outcome == wire.ApplyOutcome_APPLY_OUTCOME_APPLIED {
+		response.InForceAt = s.waitInForce(ctx, response.Current.Version)
 	}
-	return answer, nil
+	return response, nil
 }
 
 // waitInForce returns the IDs of the entries that have applied a version.
@@ -82,8 +82,8 @@
 	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
-	answer := &wire.GetConfigurationResponse{}
-	return answer, statusError(s.node.Read(ctx, func() { answer.Current = s.machine.Configuration() }))
+	response := &wire.GetConfigurationResponse{}
+	return response, statusError(s.node.Read(ctx, func() { response.Current = s.machine.Configuration() }))
 }
 
 // ListConfigurationHistory returns past versions, newest first.
@@ -95,8 +95,8 @@
 	if limit == 0 || limit > maxHistory {
 		limit = maxHistory
 	}
-	answer := &wire.ListConfigurationHistoryResponse{}
-	return answer, statusError(s.node.Read(ctx, func() { answer.Versions = s.machine.History(limit) }))
+	response := &wire.ListConfigurationHistoryResponse{}
+	return response, statusError(s.node.Read(ctx, func() { response.Versions = s.machine.History(limit) }))
 }
 
 // ListWorkers returns the registered and the quarantined workers with their committed
@@ -105,10 +105,10 @@
 	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
-	answer := &wire.ListWorkersResponse{}
+	response := &wire.ListWorkersResponse{}
 	err := s.node.Read(ctx, func() {
 		for id, w := range s.machine.Workers() {
-			answer.Workers = append(answer.Workers, &wire.WorkerStatus{
+			response.Workers = append(response.Workers, &wire.WorkerStatus{
 				Worker: w.Record, Committed: w.Committed.ToProto(), Tasks: uint32(len(w.Tasks)),
 				Attending:        s.planner.HoldsLease(id, w.Record.Incarnation, s.clock.Now()),
 				QuarantineReason: w.Quarantine,
@@ -116,14 +116,14 @@
 		}
 		for id, reason := range s.machine.Quarantines() {
 			if s.machine.Worker(id) == nil {
-				answer.Workers = append(answer.Workers, &wire.WorkerStatus{Worker: &wire.Worker{WorkerId: id}, QuarantineReason: reason})
+				response.Workers = append(response.Workers, &wire.WorkerStatus{Worker: &wire.Worker{WorkerId: id}, QuarantineReason: reason})
 			}
 		}
 	})
-	sort.Slice(answer.Workers, func(i, j int) bool {
-		return answer.Workers[i].Worker.WorkerId < answer.Workers[j].Worker.WorkerId
+	sort.Slice(response.Workers, func(i, j int) bool {
+		return response.Workers[i].Worker.WorkerId < response.Workers[j].Worker.WorkerId
 	})
-	return answer, statusError(err)
+	return response, statusError(err)
 }
 
 // QuarantineWorker quarantines or releases a worker.
@@ -148,13 +148,13 @@
 	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
-	answer := &wire.ListControlMembersResponse{}
+	response := &wire.ListControlMembersResponse{}
 	err := s.node.Read(ctx, func() {
-		answer.Members = s.node.Core().Members().GetMembers()
-		answer.LeaderReplicaId = s.node.Core().Status().Leader
+		response.Members = s.node.Core().Members().GetMembers()
+		response.LeaderReplicaId = s.node.Core().Status().Leader
 	})
-	answer.Waiting = s.bootstrapper.PendingJoins()
-	return answer, statusError(err)
+	response.Waiting = s.bootstrapper.PendingJoins()
+	return response, statusError(err)
 }
 
 // ChangeControlMember adds a replica that asks to join, removes a member, or replaces a
@@ -199,8 +199,8 @@
 			return nil, err
 		}
 	}
-	answer := &wire.ChangeControlMemberResponse{}
-	return answer, statusError(s.node.Do(ctx, func() { answer.Members = s.node.Core().Members().GetMembers() }))
+	response := &wire.ChangeControlMemberResponse{}
+	return response, statusError(s.node.Do(ctx, func() { response.Members = s.node.Core().Members().GetMembers() }))
 }
 
 // candidate returns the replica to add: one that asks to join, or a learner added by an
@@ -276,15 +276,15 @@
 	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
-	answer := &wire.GetStatusResponse{Entries: s.entries.list(s.clock.Now())}
+	response := &wire.GetStatusResponse{Entries: s.entries.list(s.clock.Now())}
 	err := s.node.Read(ctx, func() {
 		core := s.node.Core().Status()
 		queued, running, finished := s.machine.Counts()
-		answer.Leader, answer.Term, answer.CommitIndex = s.self.Name, core.Term, core.Commit
-		answer.ConfigurationVersion = s.machine.Configuration().Version
-		answer.Workers = uint32(len(s.machine.Workers()))
-		answer.DrainedDomains, _ = s.machine.Graph().DrainedDomains()
-		answer.Queued, answer.Running, answer.Finished = uint32(queued), uint32(running), finished
+		response.Leader, response.Term, response.CommitIndex = s.self.Name, core.Term, core.Commit
+		response.ConfigurationVersion = s.machine.Configuration().Version
+		response.Workers = uint32(len(s.machine.Workers()))
+		response.DrainedDomains, _ = s.machine.Graph().DrainedDomains()
+		response.Queued, response.Running, response.Finished = uint32(queued), uint32(running), finished
 	})
-	return answer, statusError(err)
+	return response, statusError(err)
 }
--- a/internal/run/ctrl/peer.go
+++ b/internal/run/ctrl/peer.go
@@ -108,12 +108,12 @@
 	}
 	s.entries.record(r.Entry, s.clock.Now())
 	v := s.awaitChange(ctx, r)
-	answer := &wire.HelloResponse{
+	response := &wire.HelloResponse{
 		LeaderAddress: v.leader, Term: v.term, ConfigurationVersion: v.version, Members: v.members,
 		DrainedDomains: v.drained, DrainRevision: v.drainRevision,
 	}
-	answer.Entries, answer.EntriesDigest = s.entries.listIfChanged(r.KnownEntries, s.clock.Now())
-	return answer, nil
+	response.Entries, response.EntriesDigest = s.entries.listIfChanged(r.KnownEntries, s.clock.Now())
+	return response, nil
 }
 
 // awaitChange blocks a hello until there is something that the entry doesn't know, so that
@@ -143,12 +143,12 @@
 	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
-	answer := &wire.FetchConfigurationResponse{}
-	read := func() { answer.Current = s.machine.Configuration() }
+	response := &wire.FetchConfigurationResponse{}
+	read := func() { response.Current = s.machine.Configuration() }
 	if r.QuorumConfirmed {
-		return answer, statusError(s.node.Read(ctx, read))
+		return response, statusError(s.node.Read(ctx, read))
 	}
-	return answer, statusError(s.node.Do(ctx, read))
+	return response, statusError(s.node.Do(ctx, read))
 }
 
 // RelayWorkers serves the workers that are connected to one entry.
--- a/internal/run/ctrl/work.go
+++ b/internal/run/ctrl/work.go
@@ -200,12 +200,12 @@
 		s.logger.Info("job submission not confirmed", "job", id, "queue", queue, "error", err)
 		return nil, err
 	}
-	answer := &wire.SubmitWorkResponse{Answer: answerForError(result.Err)}
+	response := &wire.SubmitWorkResponse{Answer: answerForError(result.Err)}
 	if result.Err != nil {
-		answer.Reason = result.Err.Error()
+		response.Reason = result.Err.Error()
 	}
-	s.logger.Info("job submitted", "job", id, "queue", queue, "steps", len(r.Spec.Steps), "answer", answer.Answer.String(), "reason", answer.Reason)
-	return answer, nil
+	s.logger.Info("job submitted", "job", id, "queue", queue, "steps", len(r.Spec.Steps), "answer", response.Answer.String(), "reason", response.Reason)
+	return response, nil
 }
 
 // resolveTarget returns the queue of a target and the rest of its path. The queue is ""
@@ -244,32 +244,32 @@
 	if err := s.checkReady(); err != nil {
 		return nil, err
 	}
-	answer := &wire.InspectWorkResponse{Answer: wire.WorkAnswer_WORK_ANSWER_UNKNOWN_QUEUE}
+	response := &wire.InspectWorkResponse{Answer: wire.WorkAnswer_WORK_ANSWER_UNKNOWN_QUEUE}
 	err := s.read(ctx, func() {
 		g := s.machine.Graph()
 		q, id := g.MatchQueue(r.Target.GetHost(), r.Target.GetPath())
 		if q == nil {
 			return
 		}
-		answer.Answer = wire.WorkAnswer_WORK_ANSWER_DONE
+		response.Answer = wire.WorkAnswer_WORK_ANSWER_DONE
 		if id == "" {
-			answer.Pending = uint64(g.PendingJobs(q.Name))
+			response.Pending = uint64(g.PendingJobs(q.Name))
 			return
 		}
 		j := g.Job(id)
 		if j == nil || j.Queue != q.Name {
-			answer.Answer = wire.WorkAnswer_WORK_ANSWER_UNKNOWN_JOB
+			response.Answer = wire.WorkAnswer_WORK_ANSWER_UNKNOWN_JOB
 			return
 		}
-		answer.State = j.State
+		response.State = j.State
 		if r.WithJob {
-			answer.Job = proto.Clone(j.Record()).(*wire.WorkJob)
+			response.Job = proto.Clone(j.Record()).(*wire.WorkJob)
 		}
 	})
 	if err != nil {
 		return nil, err
 	}
-	return answer, nil
+	return response, nil
 }
 
 // CancelWork commits the cancellation of a job. Its runs are stopped afterwards.
@@ -302,25 +302,25 @@
 	if err := s.checkReady(); err != nil {
 		return nil, err
 	}
-	answer := &wire.PutCatalogResponse{Answer: wire.WorkAnswer_WORK_ANSWER_DONE}
+	response := &wire.PutCatalogResponse{Answer: wire.WorkAnswer_WORK_ANSWER_DONE}
 	notNewer := false
 	err := s.read(ctx, func() {
-		answer.Version = s.machine.Graph().Catalog().Version
-		notNewer = answer.Version >= r.Catalog.Version
+		response.Version = s.machine.Graph().Catalog().Version
+		notNewer = response.Version >= r.Catalog.Version
 	})
 	if err != nil {
 		return nil, err
 	}
 	if notNewer {
-		s.logger.Info("catalog not newer", "version", r.Catalog.Version, "in_force", answer.Version)
-		return answer, nil
+		s.logger.Info("catalog not newer", "version", r.Catalog.Version, "in_force", response.Version)
+		return response, nil
 	}
 	if _, err := s.commit(ctx, &wire.WorkCommand{Body: &wire.WorkCommand_PutCatalog{PutCatalog: r.Catalog}}); err != nil {
 		return nil, err
 	}
-	answer.Version = r.Catalog.Version
+	response.Version = r.Catalog.Version
 	s.logger.Info("catalog accepted", "version", r.Catalog.Version, "queues", len(r.Catalog.Queues), "pools", len(r.Catalog.Pools))
-	return answer, nil
+	return response, nil
 }
 
 // GetCatalog returns the current catalog.
@@ -328,9 +328,9 @@
 	if err := s.checkReady(); err != nil {
 		return nil, err
 	}
-	answer := &wire.GetCatalogResponse{}
-	err := s.read(ctx, func() { answer.Catalog = s.machine.Graph().Catalog() })
-	return answer, err
+	response := &wire.GetCatalogResponse{}
+	err := s.read(ctx, func() { response.Catalog = s.machine.Graph().Catalog() })
+	return response, err
 }
 
 // retentionLoop removes finished jobs after the retention period.
