--- a/internal/front/uplink/ask.go
+++ b/internal/front/uplink/leader.go
@@ -1,4 +1,4 @@
-// This file defines how the leader is asked, across changes of leader.
+// This file defines CallLeader, which calls the leader across leader changes.
 
 package uplink
 
@@ -13,34 +13,30 @@
 )
 
 const (
-	// attemptTimeout bounds one try, so that a connection that went silent costs
-	// a try and not the whole of the caller's time. A commit takes some syncs of a
-	// disk, of 4 to 6 ms each where it is deployed.
+	// attemptTimeout bounds one attempt, so that an unresponsive connection doesn't use
+	// up the caller's time.
 	attemptTimeout = 1 * time.Second
-	// retryInterval is between tries to reach a leader.
+	// retryInterval is the pause between attempts.
 	retryInterval = 25 * time.Millisecond
-	// electionWait is how long a call waits for a leader while replicas that can elect
-	// one answer. 1.0 to 1.8 s passed from the loss of one to the next in seven
-	// elections that were looked into, and 3.1 s in one; callers wait 3 s in all, so
-	// that a refusal after this leaves them another try.
+	// electionWait bounds the wait for an election. Callers wait for 3 s in all, so that
+	// they have time for another attempt.
 	electionWait = 1200 * time.Millisecond
 )
 
-// Call is a method of a control replica.
+// Method calls a method of a control replica.
 type Method[Q, R any] func(ctx context.Context, conn *grpc.ClientConn, request Q) (R, error)
 
-// Ask calls the leader, and the next one while it changes, until the context
-// ends or no leader can be expected in time. Only idempotent calls may be made
-// with it, since one may be carried out by a leader whose answer is lost, and sent
-// to the next.
+// CallLeader calls the leader. After a leader change it calls the next one, until the
+// context ends or no leader is expected in time. The call must be idempotent: it may be
+// executed by a leader whose response is lost, and then again by the next one.
 //
-// Its error has code Unavailable if the call surely wasn't carried out, and
-// Aborted if it may have been; other codes are the leader's answer.
-func CallLeader[Q, R any](ctx context.Context, u *Uplink, request Q, call Method[Q, R]) (R, error) {
+// The error has code Unavailable if the call was certainly not executed and Aborted if it
+// may have been executed. Other codes are the leader's response.
+func CallLeader[Q, R any](ctx context.Context, u *Uplink, request Q, method Method[Q, R]) (R, error) {
 	began := u.options.Clock.Now()
 	uncertain := false
 	for {
-		response, err := callOnce(ctx, u, request, call)
+		response, err := callOnce(ctx, u, request, method)
 		if err == nil || !retriable(err) {
 			return response, err
 		}
@@ -56,10 +52,10 @@
 	}
 }
 
-// shouldRetry tells whether a call that began at a time may yet be answered by a
-// leader. Where too few replicas answer to elect one, none can, and the caller is
-// told at once. A call that may have been carried out goes on for as long as its
-// caller waits: the next leader can tell for sure.
+// shouldRetry reports whether a call that started at began should be attempted again.
+// Without enough responsive replicas for an election it fails immediately. A call that may
+// have been executed is retried for as long as its caller waits, since the next leader
+// can determine its outcome.
 func (u *Uplink) shouldRetry(began time.Time, uncertain bool) bool {
 	if uncertain {
 		return true
@@ -67,18 +63,18 @@
 	return u.quorumResponsive() && u.options.Clock.Now().Sub(began) < electionWait
 }
 
-// callOnce makes one try. It is given up once another leader is known: the one that
-// was asked may be dark, and would be waited for in vain.
-func callOnce[Q, R any](ctx context.Context, u *Uplink, request Q, call Method[Q, R]) (R, error) {
+// callOnce makes one attempt. It is canceled once another leader is known, since the
+// called one may be down and never respond.
+func callOnce[Q, R any](ctx context.Context, u *Uplink, request Q, method Method[Q, R]) (R, error) {
 	address, changed := u.watchLeader()
 	if address == "" {
-		var none R
-		return none, status.Error(codes.Unavailable, NotExecuted+"no control leader is known")
+		var zero R
+		return zero, status.Error(codes.Unavailable, NotExecuted+"no control leader is known")
 	}
 	conn, err := u.options.Pool.Conn(address)
 	if err != nil {
-		var none R
-		return none, err
+		var zero R
+		return zero, err
 	}
 	limited, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
@@ -89,7 +85,7 @@
 		case <-limited.Done():
 		}
 	}()
-	return call(limited, conn, request)
+	return method(limited, conn, request)
 }
 
 func retriable(err error) bool {
@@ -101,14 +97,14 @@
 	}
 }
 
-// notExecuted tells an answer that refused the call from a connection that
-// broke under it. Only the system's own texts are trusted.
+// notExecuted reports whether the replica rejected the call without executing it. A broken
+// connection returns Unavailable too, but without the prefix.
 func notExecuted(err error) bool {
 	s := status.Convert(err)
 	return s.Code() == codes.Unavailable && strings.HasPrefix(s.Message(), NotExecuted)
 }
 
-// NotExecuted begins the messages of refusals after which nothing was done.
+// NotExecuted is the prefix of error messages for calls that were not executed.
 const NotExecuted = "not done: "
 
 func finalError(err error, uncertain bool) error {
--- a/internal/run/ctrl/ctrl.go
+++ b/internal/run/ctrl/ctrl.go
@@ -1,7 +1,7 @@
-// This file defines Control, its start and its stop.
+// This file defines Control, its startup and its shutdown.
 
-// Package ctrl is the control process: one replica of the system's durable
-// state and, while it leads, the scheduler of batch and standing work.
+// Package ctrl implements the control process: a replica of the system's durable state
+// and, while it is the leader, the scheduler of batch and standing work.
 package ctrl
 
 import (
@@ -34,72 +34,70 @@
 )
 
 const (
-	// announceInterval is how often a replica that isn't a member asks to be
-	// let in.
-	announceInterval = time.Second
-	// handoverWait bounds how long a stopping leader waits for a successor.
-	handoverWait = 3 * time.Second
-	handoverPoll = 20 * time.Millisecond
+	// joinRequestInterval is how often a replica that isn't a member asks to join.
+	joinRequestInterval = time.Second
+	// leadershipTransferTimeout bounds the wait of a stopping leader for a successor.
+	leadershipTransferTimeout = 3 * time.Second
+	leadershipTransferPoll    = 20 * time.Millisecond
 )
 
 type (
-	// view is what other goroutines may know of the loop, renewed each turn.
+	// view is the event loop's state as visible to other goroutines. It is immutable, and
+	// replaced after an iteration that changes it.
 	view struct {
-		leads   bool
-		leader  string // advertised address, or empty
-		term    uint64
-		version uint64
-		members []*wire.ControlMember
-		// drained are the failure domains that get no new work, as of drains.
-		drained []string
-		drains  uint64
-		// safe tells that enough replicas vote to survive the losses that the
-		// settings name.
-		safe bool
-		// changed is closed when a newer view takes its place.
+		isLeader bool
+		leader   string // advertised address, or empty
+		term     uint64
+		version  uint64
+		members  []*wire.ControlMember
+		// drained lists the failure domains that get no new work, as of drainRevision.
+		drained       []string
+		drainRevision uint64
+		// faultTolerant is set if there are enough voters to tolerate the configured losses.
+		faultTolerant bool
+		// changed is closed when a newer view replaces this one.
 		changed chan struct{}
 	}
 
-	// Control is one running control process.
+	// Control is a running control process.
 	Control struct {
-		settings *wire.ControlSettings
-		logger   *slog.Logger
-		clock    clockwork.Clock
-		self     *wire.ControlMember
-		pool     link.Pool
-		founder  *peers.Bootstrapper
-		carrier  *peers.Transport
-		admin    admin.Server
-		log      *walog.Log
-		node     *node.Node
-		machine  *state.Machine
-		planner  *plan.Planner
-		platform Platform
-		engine   *drive.Engine
-		server   *grpc.Server
-		view     atomic.Pointer[view]
-		entries  entryTable
-		watchers watchTable
-		failed   chan error
+		settings     *wire.ControlSettings
+		logger       *slog.Logger
+		clock        clockwork.Clock
+		self         *wire.ControlMember
+		pool         link.Pool
+		bootstrapper *peers.Bootstrapper
+		transport    *peers.Transport
+		admin        admin.Server
+		log          *walog.Log
+		node         *node.Node
+		machine      *state.Machine
+		planner      *plan.Planner
+		platform     Platform
+		engine       *drive.Engine
+		server       *grpc.Server
+		view         atomic.Pointer[view]
+		entries      entryTable
+		watchers     watchTable
+		failed       chan error
 		// running is set once node may be used by other goroutines.
 		running atomic.Bool
 
-		// seenMembers is the membership the view was made from.
-		seenMembers *wire.Membership
-		// membershipAt is when the membership was last looked after.
-		membershipAt time.Time
-		// drivenTerm is the last term in which driving agents could begin; of
-		// the loop.
-		drivenTerm uint64
-		// waking is set while a turn is on order; of the loop.
-		waking     bool
+		// Used only on the event loop: the membership of the current view, the time of
+		// the last reconciliation, the last term in which the engine was allowed to
+		// start, and whether a timer for the next tick is running.
+		publishedMembers       *wire.Membership
+		membershipReconciledAt time.Time
+		engineTerm             uint64
+		tickScheduled          bool
+
 		closing    chan struct{}
 		background sync.WaitGroup
 	}
 )
 
-// Run serves until the context ends, then hands over and stops. It returns an
-// error when the start or the disk fails.
+// Run serves until the context ends, then transfers leadership and stops. It returns an
+// error if the startup or the disk fails.
 func Run(ctx context.Context, settings *wire.ControlSettings, logger *slog.Logger, platform Platform, reloads <-chan *wire.ControlSettings) error {
 	c := &Control{
 		settings: settings, logger: logger, platform: platform, clock: clockwork.NewRealClock(),
@@ -111,17 +109,17 @@
 		return err
 	}
 	defer flush(context.WithoutCancel(ctx))
-	running, stopFollowing := context.WithCancel(ctx)
-	defer stopFollowing()
-	if err := c.start(running, reloads); err != nil {
+	runCtx, stopWatching := context.WithCancel(ctx)
+	defer stopWatching()
+	if err := c.start(runCtx, reloads); err != nil {
 		return err
 	}
 	logger.Info("started", "replica", c.self.ReplicaId, "address", c.self.Address)
-	stopServing, err := c.servePlatform()
+	stopPlatform, err := c.servePlatform()
 	if err != nil {
 		return err
 	}
-	defer stopServing()
+	defer stopPlatform()
 	select {
 	case <-ctx.Done():
 		c.stop()
@@ -140,9 +138,9 @@
 	c.log = log
 	context.AfterFunc(ctx, log.AbortRetries)
 	if durable.TornBytes > 0 {
-		c.logger.Warn("cut off an unfinished write", "bytes", durable.TornBytes)
+		c.logger.Warn("truncated incomplete log write", "bytes", durable.TornBytes)
 	}
-	if err := c.identify(durable); err != nil {
+	if err := c.loadIdentity(durable); err != nil {
 		return err
 	}
 	listener, err := net.Listen("tcp", c.settings.Common.ListenAddress)
@@ -150,20 +148,21 @@
 		return trace.ConvertSystemError(err)
 	}
 	c.view.Store(&view{changed: make(chan struct{})})
-	go c.followSettings(ctx, reloads)
+	go c.watchSettings(ctx, reloads)
 	c.register()
 	go c.server.Serve(listener)
 	if err := c.admin.Start(c.settings.Common.AdminAddress); err != nil {
 		return err
 	}
-	if err := c.found(ctx, durable); err != nil {
+	if err := c.bootstrap(ctx, durable); err != nil {
 		return err
 	}
 	return c.startNode(durable)
 }
 
-// identify reads this replica's identity, or draws one for a new folder.
-func (c *Control) identify(durable *walog.DurableState) error {
+// loadIdentity loads this replica's ID, or generates one for a new data folder, and sets up
+// the bootstrapper.
+func (c *Control) loadIdentity(durable *walog.DurableState) error {
 	if durable.Vote.GetReplicaId() == 0 {
 		id := rand.Uint64() | 1
 		durable.Vote = &wire.Vote{Term: durable.Vote.GetTerm(), VotedFor: durable.Vote.GetVotedFor(), ReplicaId: id}
@@ -174,16 +173,16 @@
 	common := c.settings.Common
 	c.pool.Options = link.Options{Traced: common.TraceEndpoint != "", SourceIP: common.SourceAddress}
 	c.self = &wire.ControlMember{Name: common.InstanceId, Address: setup.AdvertisedAddress(common), ReplicaId: durable.Vote.ReplicaId}
-	c.founder = &peers.Bootstrapper{Self: c.self, Pool: &c.pool, JoinOnly: c.settings.FirstStart == "false"}
+	c.bootstrapper = &peers.Bootstrapper{Self: c.self, Pool: &c.pool, JoinOnly: c.settings.FirstStart == "false"}
 	for _, text := range c.settings.FoundingMembers {
 		name, address, _ := strings.Cut(text, "=")
-		c.founder.InitialMembers = append(c.founder.InitialMembers, &wire.ControlMember{Name: name, Address: address})
+		c.bootstrapper.InitialMembers = append(c.bootstrapper.InitialMembers, &wire.ControlMember{Name: name, Address: address})
 	}
-	c.founder.InitialMembers = append(c.founder.InitialMembers, seedMembers(c.settings)...)
+	c.bootstrapper.InitialMembers = append(c.bootstrapper.InitialMembers, seedMembers(c.settings)...)
 	return nil
 }
 
-// seedMembers are the control replicas that the settings name by address only.
+// seedMembers returns the control replicas that the settings list by address only.
 func seedMembers(s *wire.ControlSettings) []*wire.ControlMember {
 	var members []*wire.ControlMember
 	for _, address := range setup.SeedAddresses(s.Seeds) {
@@ -192,27 +191,27 @@
 	return members
 }
 
-// followSettings takes over the seeds that settings read anew name, for a
-// replica that still waits to be let in. All else holds from the next start on.
-func (c *Control) followSettings(ctx context.Context, reloads <-chan *wire.ControlSettings) {
+// watchSettings applies the seeds of reloaded settings, for a replica that hasn't joined
+// yet. Other changes take effect at the next start.
+func (c *Control) watchSettings(ctx context.Context, reloads <-chan *wire.ControlSettings) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case fresh := <-reloads:
-			c.founder.SetSeeds(seedMembers(fresh))
-			c.logger.Info("settings taken", "seeds", setup.SeedAddresses(fresh.Seeds))
+		case settings := <-reloads:
+			c.bootstrapper.SetSeeds(seedMembers(settings))
+			c.logger.Info("settings reloaded", "seeds", setup.SeedAddresses(settings.Seeds))
 		}
 	}
 }
 
-func (c *Control) found(ctx context.Context, durable *walog.DurableState) error {
+func (c *Control) bootstrap(ctx context.Context, durable *walog.DurableState) error {
 	if durable.Snapshot != nil {
 		return nil
 	}
-	membership, err := c.founder.Bootstrap(ctx)
+	membership, err := c.bootstrapper.Bootstrap(ctx)
 	if err != nil {
-		return trace.Wrap(err, "founding the cluster")
+		return trace.Wrap(err, "bootstrapping the cluster")
 	}
 	durable.Snapshot = &wire.Snapshot{Membership: membership}
 	c.logger.Info("joined cluster", "cluster", membership.ClusterId, "members", len(membership.Members))
@@ -227,16 +226,16 @@
 			c.watchers.notify(j)
 		},
 	})
-	c.carrier = &peers.Transport{Pool: &c.pool}
+	c.transport = &peers.Transport{Pool: &c.pool}
 	n, err := node.New(node.Options{
 		ID:                c.self.ReplicaId,
 		HeartbeatInterval: c.settings.HeartbeatInterval.AsDuration(),
 		ElectionTimeout:   c.settings.ElectionTimeout.AsDuration(),
 		SnapshotThreshold: uint64(c.settings.SnapshotRecords),
 		Clock:             c.clock, Logger: c.logger,
-		Send:           c.carrier.Send,
-		AfterIteration: c.turn,
-		Lookup:         c.founder.Lookup,
+		Send:           c.transport.Send,
+		AfterIteration: c.tick,
+		Lookup:         c.bootstrapper.Lookup,
 		OnDiskFailure:  func(err error) { c.failed <- err },
 	}, c.log, durable, c.machine)
 	if err != nil {
@@ -253,40 +252,40 @@
 	if err := c.startEngine(); err != nil {
 		return err
 	}
-	c.publish()
+	c.publishView()
 	c.running.Store(true)
 	go n.Run()
-	c.background.Go(c.announceLoop)
+	c.background.Go(c.requestJoinLoop)
 	return nil
 }
 
-// turn runs on the loop after each turn of the replica.
-func (c *Control) turn(now time.Time) {
+// tick runs after each iteration of the replica's event loop.
+func (c *Control) tick(now time.Time) {
 	c.planner.Tick(now)
 	c.engine.Tick(boot.Now())
-	c.wakeLater()
-	c.tendMembership(now)
-	c.publish()
+	c.scheduleTick()
+	c.reconcileMembership(now)
+	c.publishView()
 }
 
-// publish renews the view when anything in it has changed.
-func (c *Control) publish() {
+// publishView replaces the view if anything in it has changed.
+func (c *Control) publishView() {
 	status := c.node.Core().Status()
 	members := c.node.Core().Members()
-	_, leads := c.node.IsLeader()
+	_, isLeader := c.node.IsLeader()
 	old := c.view.Load()
 	version := c.machine.Configuration().Version
 	leader := addressOf(members, status.Leader)
-	safe := c.enoughVoters(members)
-	drained, drains := c.machine.Graph().DrainedDomains()
-	unchanged := old.drains == drains && old.leads == leads && old.term == status.Term && old.version == version && old.leader == leader && old.safe == safe
-	if unchanged && c.seenMembers == members {
+	faultTolerant := c.hasEnoughVoters(members)
+	drained, drainRevision := c.machine.Graph().DrainedDomains()
+	unchanged := old.drainRevision == drainRevision && old.isLeader == isLeader && old.term == status.Term && old.version == version && old.leader == leader && old.faultTolerant == faultTolerant
+	if unchanged && c.publishedMembers == members {
 		return
 	}
-	c.seenMembers = members
-	c.founder.SetMembership(members)
+	c.publishedMembers = members
+	c.bootstrapper.SetMembership(members)
 	c.admin.SetReady(leader != "")
-	c.view.Store(&view{leads: leads, leader: leader, term: status.Term, version: version, members: members.GetMembers(), drained: drained, drains: drains, safe: safe, changed: make(chan struct{})})
+	c.view.Store(&view{isLeader: isLeader, leader: leader, term: status.Term, version: version, members: members.GetMembers(), drained: drained, drainRevision: drainRevision, faultTolerant: faultTolerant, changed: make(chan struct{})})
 	close(old.changed)
 }
 
@@ -299,36 +298,36 @@
 	return ""
 }
 
-// announceLoop makes a replica that has no place in the membership visible to
-// the leader and to operators until it has one. One that was put out while it
-// was away doesn't know; it finds that it hears of no leader.
-func (c *Control) announceLoop() {
+// requestJoinLoop asks to join the cluster while this replica isn't a member. A replica
+// that was removed while it was down doesn't know; it asks once it has seen no leader for
+// leaderTimeout.
+func (c *Control) requestJoinLoop() {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	led := c.clock.Now()
+	leaderSeenAt := c.clock.Now()
 	for {
 		select {
 		case <-c.closing:
 			return
-		case <-c.clock.After(announceInterval):
+		case <-c.clock.After(joinRequestInterval):
 		}
 		if c.view.Load().leader != "" {
-			led = c.clock.Now()
+			leaderSeenAt = c.clock.Now()
 		}
 		member := false
 		for _, m := range c.view.Load().members {
 			member = member || m.ReplicaId == c.self.ReplicaId
 		}
-		if !member || c.clock.Now().Sub(led) > lostTouch {
-			c.founder.RequestJoin(ctx)
+		if !member || c.clock.Now().Sub(leaderSeenAt) > leaderTimeout {
+			c.bootstrapper.RequestJoin(ctx)
 		}
 	}
 }
 
-// stop hands leadership over, lets calls in flight finish and closes.
+// stop transfers leadership, waits for calls in flight and closes all components.
 func (c *Control) stop() {
 	c.admin.SetReady(false)
-	c.handOver()
+	c.transferLeadership()
 	close(c.closing)
 	stopped := make(chan struct{})
 	go func() {
@@ -343,26 +342,27 @@
 	<-stopped
 	c.background.Wait()
 	c.node.Stop()
-	c.carrier.Close()
+	c.transport.Close()
 	c.pool.Close()
 	c.admin.Close()
 	c.log.Close()
 	c.logger.Info("stopped")
 }
 
-func (c *Control) handOver() {
-	ctx, cancel := context.WithTimeout(context.Background(), handoverWait)
+// transferLeadership waits until another replica leads or the timeout passes.
+func (c *Control) transferLeadership() {
+	ctx, cancel := context.WithTimeout(context.Background(), leadershipTransferTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		leads := false
+		isLeader := false
 		err := c.node.Do(ctx, func() {
 			if c.node.Core().Status().Role == quorum.Leader {
-				leads = c.node.Core().TransferLeadership()
+				isLeader = c.node.Core().TransferLeadership()
 			}
 		})
-		if err != nil || !leads {
+		if err != nil || !isLeader {
 			return
 		}
-		c.clock.Sleep(handoverPoll)
+		c.clock.Sleep(leadershipTransferPoll)
 	}
 }
--- a/internal/run/ctrl/domain.go
+++ b/internal/run/ctrl/domain.go
@@ -16,58 +16,58 @@
 	domainsRestored = metrics.NewCounter("sycamoredeck_failure_domains_restored_total")
 )
 
-// DrainDomain commits that a failure domain gets no new work, or gets it again. A
-// repeated order is acknowledged and changes nothing.
+// DrainDomain commits the draining or restoration of a failure domain. A repeated request
+// is acknowledged without effect.
 func (s *workService) DrainDomain(ctx context.Context, r *wire.DrainDomainRequest) (*wire.DrainDomainResponse, error) {
 	if err := graph.CheckDomain(r.FailureDomain); err != nil {
 		return &wire.DrainDomainResponse{Answer: wire.WorkAnswer_WORK_ANSWER_INVALID, Reason: err.Error()}, nil
 	}
-	if err := s.ready(); err != nil {
+	if err := s.checkReady(); err != nil {
 		return nil, err
 	}
-	answer := &wire.DrainDomainResponse{Answer: wire.WorkAnswer_WORK_ANSWER_DONE}
-	done := false
+	response := &wire.DrainDomainResponse{Answer: wire.WorkAnswer_WORK_ANSWER_DONE}
+	unchanged := false
 	err := s.read(ctx, func() {
 		g := s.machine.Graph()
-		done = g.Drained(r.FailureDomain) != r.Restore
+		unchanged = g.Drained(r.FailureDomain) != r.Restore
 		for _, d := range g.Domains() {
 			if d.FailureDomain == r.FailureDomain {
-				answer.Agents = d.Agents
+				response.Agents = d.Agents
 			}
 		}
 	})
 	if err != nil {
 		return nil, err
 	}
-	if done {
-		s.logger.Info("failure domain already so", "domain", r.FailureDomain, "drained", !r.Restore)
-		return answer, nil
+	if unchanged {
+		s.logger.Info("failure domain unchanged", "domain", r.FailureDomain, "drained", !r.Restore)
+		return response, nil
 	}
 	command := &wire.DrainDomain{FailureDomain: r.FailureDomain, Restore: r.Restore}
 	result, err := s.commit(ctx, &wire.WorkCommand{Body: &wire.WorkCommand_DrainDomain{DrainDomain: command}})
 	if err != nil {
-		s.logger.Info("failure domain not known to be changed", "domain", r.FailureDomain, "drained", !r.Restore, "error", err)
+		s.logger.Info("failure domain change not confirmed", "domain", r.FailureDomain, "drained", !r.Restore, "error", err)
 		return nil, err
 	}
 	if result.Err != nil {
-		answer.Answer, answer.Reason = answerOf(result.Err), result.Err.Error()
-		return answer, nil
+		response.Answer, response.Reason = answerForError(result.Err), result.Err.Error()
+		return response, nil
 	}
 	if r.Restore {
 		domainsRestored.Inc()
 	} else {
 		domainsDrained.Inc()
 	}
-	s.logger.Info("failure domain changed", "domain", r.FailureDomain, "drained", !r.Restore, "agents", answer.Agents)
-	return answer, nil
+	s.logger.Info("failure domain changed", "domain", r.FailureDomain, "drained", !r.Restore, "agents", response.Agents)
+	return response, nil
 }
 
-// ListDomains gives the failure domains that have agents or are drained.
+// ListDomains returns the failure domains that have agents or are drained.
 func (s *workService) ListDomains(ctx context.Context, _ *wire.ListDomainsRequest) (*wire.ListDomainsResponse, error) {
-	if err := s.ready(); err != nil {
+	if err := s.checkReady(); err != nil {
 		return nil, err
 	}
-	answer := &wire.ListDomainsResponse{}
-	err := s.read(ctx, func() { answer.Domains = s.machine.Graph().Domains() })
-	return answer, err
+	response := &wire.ListDomainsResponse{}
+	err := s.read(ctx, func() { response.Domains = s.machine.Graph().Domains() })
+	return response, err
 }
--- a/internal/run/ctrl/jobs.go
+++ b/internal/run/ctrl/jobs.go
@@ -1,4 +1,4 @@
-// This file defines how a control replica serves jobs.
+// This file defines how a control replica serves JobService.
 
 package ctrl
 
@@ -22,8 +22,8 @@
 const (
 	defaultListLimit = 100
 	maxListLimit     = 10000
-	maxCancelled     = 10000
-	// watchPoll is how often a watch looks whether this replica still leads.
+	maxCancelledJobs = 10000
+	// watchPoll is how often a watch checks that this replica is still the leader.
 	watchPoll = time.Second
 )
 
@@ -33,8 +33,8 @@
 		*Control
 	}
 
-	// watchTable wakes those who watch a job. Notify is called on the loop
-	// while a replica applies. The zero value is empty.
+	// watchTable holds the watchers of jobs. notify is called on the event loop while a
+	// command is applied. The zero value is an empty table.
 	watchTable struct {
 		mu       sync.Mutex
 		watchers map[string]map[chan struct{}]bool
@@ -45,7 +45,7 @@
 
 // Submit commits a job.
 func (s *jobService) Submit(ctx context.Context, r *wire.SubmitRequest) (*wire.SubmitResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
 	if err := checkSubmit(r, int(s.settings.MaxPayloadBytes)); err != nil {
@@ -57,13 +57,13 @@
 		JobId: uuid.NewString(), IdempotencyKey: r.IdempotencyKey, Spec: r.Spec,
 	}}})
 	if err == nil {
-		err = refused(result.Err)
+		err = refusalStatus(result.Err)
 	}
 	if err != nil {
-		return nil, turned(err)
+		return nil, statusError(err)
 	}
-	answer := &wire.SubmitResponse{Duplicate: result.Duplicate}
-	return answer, s.copyJob(ctx, result.Job.JobId, &answer.Job)
+	response := &wire.SubmitResponse{Duplicate: result.Duplicate}
+	return response, s.copyJob(ctx, result.Job.JobId, &response.Job)
 }
 
 func checkSubmit(r *wire.SubmitRequest, maxPayload int) error {
@@ -78,17 +78,17 @@
 	return nil
 }
 
-// copyJob copies a job on the loop, since only there it may be read.
+// copyJob copies a job on the event loop, where alone it may be accessed.
 func (s *jobService) copyJob(ctx context.Context, id string, into **wire.Job) error {
-	return turned(s.node.Do(ctx, func() {
+	return statusError(s.node.Do(ctx, func() {
 		if j := s.machine.Job(id); j != nil {
 			*into = proto.Clone(j).(*wire.Job)
 		}
 	}))
 }
 
-// refused makes a status of why the state refused a command.
-func refused(err error) error {
+// refusalStatus converts the error of a rejected command into a status.
+func refusalStatus(err error) error {
 	switch {
 	case err == nil:
 		return nil
@@ -101,99 +101,99 @@
 	}
 }
 
-// Get gives a job as of no earlier than the call.
+// Get returns a job with a linearizable read.
 func (s *jobService) Get(ctx context.Context, r *wire.GetRequest) (*wire.GetResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
-	answer := &wire.GetResponse{}
+	response := &wire.GetResponse{}
 	err := s.node.Read(ctx, func() {
 		if j := s.machine.Job(r.JobId); j != nil {
-			answer.Job = proto.Clone(j).(*wire.Job)
+			response.Job = proto.Clone(j).(*wire.Job)
 		}
 	})
 	if err != nil {
-		return nil, turned(err)
+		return nil, statusError(err)
 	}
-	if answer.Job == nil {
+	if response.Job == nil {
 		return nil, status.Errorf(codes.NotFound, "no such job: %q", r.JobId)
 	}
-	return answer, nil
+	return response, nil
 }
 
-// List gives jobs in submission order.
+// List returns jobs in the order of submission.
 func (s *jobService) List(ctx context.Context, r *wire.ListRequest) (*wire.ListResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
 	limit := int(r.Limit)
 	if limit == 0 {
 		limit = defaultListLimit
 	}
-	answer := &wire.ListResponse{}
+	response := &wire.ListResponse{}
 	err := s.node.Read(ctx, func() {
 		var after uint64
 		if j := s.machine.Job(r.AfterJobId); j != nil {
 			after = j.Sequence
 		}
 		for _, j := range s.machine.Jobs(r.ClientAccount, r.State, after, min(limit, maxListLimit)) {
-			answer.Jobs = append(answer.Jobs, proto.Clone(j).(*wire.Job))
+			response.Jobs = append(response.Jobs, proto.Clone(j).(*wire.Job))
 		}
 	})
-	return answer, turned(err)
+	return response, statusError(err)
 }
 
-// Cancel commits the cancellation of jobs. Running ones end once their worker
-// has stopped them.
+// Cancel commits the cancellation of jobs. Running jobs end when their workers have
+// stopped them.
 func (s *jobService) Cancel(ctx context.Context, r *wire.CancelRequest) (*wire.CancelResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
-	if len(r.JobIds) == 0 || len(r.JobIds) > maxCancelled {
-		return nil, status.Errorf(codes.InvalidArgument, "JobIds must have 1 to %d elements", maxCancelled)
+	if len(r.JobIds) == 0 || len(r.JobIds) > maxCancelledJobs {
+		return nil, status.Errorf(codes.InvalidArgument, "JobIds must have 1 to %d elements", maxCancelledJobs)
 	}
 	result, err := s.node.Commit(ctx, &wire.Command{Body: &wire.Command_CancelJobs{CancelJobs: &wire.CancelJobs{JobIds: r.JobIds}}})
 	if err == nil {
-		err = refused(result.Err)
+		err = refusalStatus(result.Err)
 	}
 	if err != nil {
-		return nil, turned(err)
+		return nil, statusError(err)
 	}
-	answer := &wire.CancelResponse{}
+	response := &wire.CancelResponse{}
 	err = s.node.Do(ctx, func() {
 		for _, id := range r.JobIds {
 			if j := s.machine.Job(id); j != nil {
-				answer.Jobs = append(answer.Jobs, proto.Clone(j).(*wire.Job))
+				response.Jobs = append(response.Jobs, proto.Clone(j).(*wire.Job))
 			}
 		}
 	})
-	return answer, turned(err)
+	return response, statusError(err)
 }
 
-// Watch sends a job whenever it has changed, until it has ended.
+// Watch sends a job each time that it has changed, until it has ended.
 func (s *jobService) Watch(r *wire.WatchRequest, stream grpc.ServerStreamingServer[wire.WatchResponse]) error {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return err
 	}
-	wake, cancel := s.watchers.watch(r.JobId)
+	changed, cancel := s.watchers.watch(r.JobId)
 	defer cancel()
 	var last *wire.Job
 	for {
-		got, err := s.Get(stream.Context(), &wire.GetRequest{JobId: r.JobId})
+		response, err := s.Get(stream.Context(), &wire.GetRequest{JobId: r.JobId})
 		if err != nil {
 			return err
 		}
-		if !proto.Equal(got.Job, last) {
-			if err := stream.Send(&wire.WatchResponse{Job: got.Job}); err != nil {
+		if !proto.Equal(response.Job, last) {
+			if err := stream.Send(&wire.WatchResponse{Job: response.Job}); err != nil {
 				return err
 			}
-			last = got.Job
+			last = response.Job
 		}
-		if state.Ended(got.Job) {
+		if state.Ended(response.Job) {
 			return nil
 		}
 		select {
-		case <-wake:
+		case <-changed:
 		case <-s.clock.After(watchPoll):
 		case <-s.closing:
 			return status.Error(codes.Unavailable, "stopping")
@@ -207,16 +207,18 @@
 func (t *watchTable) notify(j *wire.Job) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for wake := range t.watchers[j.JobId] {
+	for changed := range t.watchers[j.JobId] {
 		select {
-		case wake <- struct{}{}:
+		case changed <- struct{}{}:
 		default:
 		}
 	}
 }
 
+// watch registers a watcher of a job. It returns the channel on which the watcher is
+// notified, and a function that removes it.
 func (t *watchTable) watch(job string) (<-chan struct{}, func()) {
-	wake := make(chan struct{}, 1)
+	changed := make(chan struct{}, 1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.watchers == nil {
@@ -225,11 +227,11 @@
 	if t.watchers[job] == nil {
 		t.watchers[job] = map[chan struct{}]bool{}
 	}
-	t.watchers[job][wake] = true
-	return wake, func() {
+	t.watchers[job][changed] = true
+	return changed, func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		delete(t.watchers[job], wake)
+		delete(t.watchers[job], changed)
 		if len(t.watchers[job]) == 0 {
 			delete(t.watchers, job)
 		}
--- /dev/null
+++ b/internal/run/ctrl/membership.go
@@ -0,0 +1,135 @@
+// This file defines the automatic reconciliation of the membership.
+
+package ctrl
+
+import (
+	"errors"
+	"time"
+
+	"sycamoredeck.example/internal/schema/wire"
+	"sycamoredeck.example/internal/store/quorum"
+)
+
+const (
+	// membershipInterval is how often the leader reconciles the membership.
+	membershipInterval = 100 * time.Millisecond
+	// maxMembers bounds the number of voters and learners. Each learner adds to the
+	// leader's replication load.
+	maxMembers = 9
+	// voterTimeout is how long a voter may be unresponsive before a learner replaces it. It
+	// is longer than a restart, and short enough to replace the voter before the next loss
+	// that must be tolerated.
+	voterTimeout = 3 * time.Second
+	// leaderTimeout is how long a member may know no leader before it asks to join again,
+	// in case it was removed.
+	leaderTimeout = 3 * time.Second
+)
+
+// hasEnoughVoters reports whether acknowledged data survives the configured number of
+// losses. Otherwise nothing may be acknowledged.
+func (c *Control) hasEnoughVoters(m *wire.Membership) bool {
+	if c.settings.ToleratedLosses == 0 {
+		return true
+	}
+	return countVoters(m) >= c.requiredVoters()
+}
+
+func (c *Control) requiredVoters() int { return 2*int(c.settings.ToleratedLosses) + 1 }
+
+func countVoters(m *wire.Membership) int {
+	voters := 0
+	for _, member := range m.GetMembers() {
+		if member.Voter {
+			voters++
+		}
+	}
+	return voters
+}
+
+// reconcileMembership adds and replaces members without an operator, one change at a time.
+// A replica that lost its disk replaces its old identity; learners are promoted until
+// there are enough voters.
+func (c *Control) reconcileMembership(now time.Time) {
+	if c.settings.ToleratedLosses == 0 || now.Sub(c.membershipReconciledAt) < membershipInterval {
+		return
+	}
+	c.membershipReconciledAt = now
+	core := c.node.Core()
+	if _, isLeader := c.node.IsLeader(); !isLeader || core.MembershipCommitted() != nil {
+		return
+	}
+	change, err := c.applyNextChange(core.Members())
+	if change == "" {
+		return
+	}
+	if err != nil && !errors.Is(err, quorum.ErrLearnerNotReady) {
+		c.logger.Warn("membership not changed", "change", change, "error", err)
+		return
+	}
+	if err == nil {
+		c.logger.Info("membership changes", "change", change, "voters", countVoters(core.Members()))
+	}
+}
+
+// applyNextChange makes the next necessary change and returns its description, or "" if
+// none is necessary.
+func (c *Control) applyNextChange(m *wire.Membership) (string, error) {
+	core := c.node.Core()
+	for _, learner := range m.Members {
+		if learner.Voter {
+			continue
+		}
+		if joining := c.pendingJoinAt(learner.Address); joining != nil && joining.ReplicaId != learner.ReplicaId {
+			return "remove learner " + learner.Name + ", whose disk was lost", core.Remove(learner.ReplicaId)
+		}
+		if old := voterAt(m, learner.Address); old != nil {
+			return "replace the lost disk of " + old.Name, core.Replace(old.ReplicaId, learner.ReplicaId)
+		}
+		if core.CaughtUp(learner.ReplicaId) != nil || c.node.SinceLastResponse(learner.ReplicaId) > membershipInterval {
+			continue
+		}
+		if unresponsive := c.unresponsiveVoter(m); unresponsive != nil && countVoters(m) >= c.requiredVoters() {
+			return "remove unresponsive " + unresponsive.Name + " in favor of " + learner.Name, core.Remove(unresponsive.ReplicaId)
+		}
+		if countVoters(m) < c.requiredVoters() {
+			return "give " + learner.Name + " a vote", core.Promote(learner.ReplicaId)
+		}
+	}
+	for _, joining := range c.bootstrapper.PendingJoins() {
+		if len(m.Members) < maxMembers || voterAt(m, joining.Address) != nil {
+			return "add " + joining.Name + " as learner", core.AddLearner(joining)
+		}
+	}
+	return "", nil
+}
+
+// unresponsiveVoter returns a voter that has been unresponsive for voterTimeout, or nil. It
+// may return with its vote. Therefore it is removed first, and the learner promoted by a
+// separate change; only a lost disk is replaced in a single change.
+func (c *Control) unresponsiveVoter(m *wire.Membership) *wire.ControlMember {
+	for _, member := range m.Members {
+		if member.Voter && c.node.SinceLastResponse(member.ReplicaId) > voterTimeout {
+			return member
+		}
+	}
+	return nil
+}
+
+// pendingJoinAt returns the replica at an address that asks to join, or nil.
+func (c *Control) pendingJoinAt(address string) *wire.ControlMember {
+	for _, joining := range c.bootstrapper.PendingJoins() {
+		if joining.Address == address {
+			return joining
+		}
+	}
+	return nil
+}
+
+func voterAt(m *wire.Membership, address string) *wire.ControlMember {
+	for _, member := range m.Members {
+		if member.Voter && member.Address == address {
+			return member
+		}
+	}
+	return nil
+}
--- a/internal/run/ctrl/operator.go
+++ b/internal/run/ctrl/operator.go
@@ -1,4 +1,4 @@
-// This file defines how a control replica serves operators.
+// This file defines how a control replica serves OperatorService.
 
 package ctrl
 
@@ -17,14 +17,12 @@
 )
 
 const (
-	// inForceWait is how long an accepted configuration's answer waits for
-	// the entries to say that they have it.
+	// inForceWait bounds the wait for all entries to apply an accepted configuration.
 	inForceWait = 1500 * time.Millisecond
 	inForcePoll = 20 * time.Millisecond
-	// memberPoll is how often a change of membership looks whether its next
-	// step can be taken.
+	// memberPoll is how often a step of a membership change is retried.
 	memberPoll = 50 * time.Millisecond
-	// maxHistory is the most versions that history shows.
+	// maxHistory bounds the number of returned configuration versions.
 	maxHistory = 200
 )
 
@@ -35,10 +33,10 @@
 
 var _ wire.OperatorServiceServer = (*operatorService)(nil)
 
-// ApplyConfiguration commits a configuration and waits a little until all
-// entries have it in force.
+// ApplyConfiguration commits a configuration and waits, up to inForceWait, until all
+// entries have applied it.
 func (s *operatorService) ApplyConfiguration(ctx context.Context, r *wire.ApplyConfigurationRequest) (*wire.ApplyConfigurationResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
 	if r.OperationId == "" || len(r.OperationId) > 128 {
@@ -49,18 +47,19 @@
 	}
 	result, err := s.node.Commit(ctx, &wire.Command{Body: &wire.Command_ApplyConfiguration{ApplyConfiguration: r}})
 	if err == nil {
-		err = refused(result.Err)
+		err = refusalStatus(result.Err)
 	}
 	if err != nil {
-		return nil, turned(err)
+		return nil, statusError(err)
 	}
-	answer := result.Apply
-	if answer.Outcome == wire.ApplyOutcome_APPLY_OUTCOME_APPLIED {
-		answer.InForceAt = s.waitInForce(ctx, answer.Current.Version)
+	response := result.Apply
+	if response.Outcome == wire.ApplyOutcome_APPLY_OUTCOME_APPLIED {
+		response.InForceAt = s.waitInForce(ctx, response.Current.Version)
 	}
-	return answer, nil
+	return response, nil
 }
 
+// waitInForce returns the IDs of the entries that have applied a version.
 func (s *operatorService) waitInForce(ctx context.Context, version uint64) []string {
 	deadline := s.clock.Now().Add(inForceWait)
 	for {
@@ -78,37 +77,38 @@
 	}
 }
 
-// GetConfiguration gives the version in force.
+// GetConfiguration returns the current version.
 func (s *operatorService) GetConfiguration(ctx context.Context, _ *wire.GetConfigurationRequest) (*wire.GetConfigurationResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
-	answer := &wire.GetConfigurationResponse{}
-	return answer, turned(s.node.Read(ctx, func() { answer.Current = s.machine.Configuration() }))
+	response := &wire.GetConfigurationResponse{}
+	return response, statusError(s.node.Read(ctx, func() { response.Current = s.machine.Configuration() }))
 }
 
-// ListConfigurationHistory gives past versions, the newest first.
+// ListConfigurationHistory returns past versions, newest first.
 func (s *operatorService) ListConfigurationHistory(ctx context.Context, r *wire.ListConfigurationHistoryRequest) (*wire.ListConfigurationHistoryResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
 	limit := int(r.Limit)
 	if limit == 0 || limit > maxHistory {
 		limit = maxHistory
 	}
-	answer := &wire.ListConfigurationHistoryResponse{}
-	return answer, turned(s.node.Read(ctx, func() { answer.Versions = s.machine.History(limit) }))
+	response := &wire.ListConfigurationHistoryResponse{}
+	return response, statusError(s.node.Read(ctx, func() { response.Versions = s.machine.History(limit) }))
 }
 
-// ListWorkers gives the registered workers and what is committed on them.
+// ListWorkers returns the registered and the quarantined workers with their committed
+// resources.
 func (s *operatorService) ListWorkers(ctx context.Context, _ *wire.ListWorkersRequest) (*wire.ListWorkersResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
-	answer := &wire.ListWorkersResponse{}
+	response := &wire.ListWorkersResponse{}
 	err := s.node.Read(ctx, func() {
 		for id, w := range s.machine.Workers() {
-			answer.Workers = append(answer.Workers, &wire.WorkerStatus{
+			response.Workers = append(response.Workers, &wire.WorkerStatus{
 				Worker: w.Record, Committed: w.Committed.ToProto(), Tasks: uint32(len(w.Tasks)),
 				Attending:        s.planner.HoldsLease(id, w.Record.Incarnation, s.clock.Now()),
 				QuarantineReason: w.Quarantine,
@@ -116,19 +116,19 @@
 		}
 		for id, reason := range s.machine.Quarantines() {
 			if s.machine.Worker(id) == nil {
-				answer.Workers = append(answer.Workers, &wire.WorkerStatus{Worker: &wire.Worker{WorkerId: id}, QuarantineReason: reason})
+				response.Workers = append(response.Workers, &wire.WorkerStatus{Worker: &wire.Worker{WorkerId: id}, QuarantineReason: reason})
 			}
 		}
 	})
-	sort.Slice(answer.Workers, func(i, j int) bool {
-		return answer.Workers[i].Worker.WorkerId < answer.Workers[j].Worker.WorkerId
+	sort.Slice(response.Workers, func(i, j int) bool {
+		return response.Workers[i].Worker.WorkerId < response.Workers[j].Worker.WorkerId
 	})
-	return answer, turned(err)
+	return response, statusError(err)
 }
 
-// QuarantineWorker puts a worker aside or takes it back.
+// QuarantineWorker quarantines or releases a worker.
 func (s *operatorService) QuarantineWorker(ctx context.Context, r *wire.QuarantineWorkerRequest) (*wire.QuarantineWorkerResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
 	if !r.Release && r.Reason == "" {
@@ -138,33 +138,32 @@
 		WorkerId: r.WorkerId, Release: r.Release, Reason: r.Reason,
 	}}})
 	if err == nil {
-		err = refused(result.Err)
+		err = refusalStatus(result.Err)
 	}
-	return &wire.QuarantineWorkerResponse{}, turned(err)
+	return &wire.QuarantineWorkerResponse{}, statusError(err)
 }
 
-// ListControlMembers gives the membership and who waits to be let in.
+// ListControlMembers returns the members and the replicas that ask to join.
 func (s *operatorService) ListControlMembers(ctx context.Context, _ *wire.ListControlMembersRequest) (*wire.ListControlMembersResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
-	answer := &wire.ListControlMembersResponse{}
+	response := &wire.ListControlMembersResponse{}
 	err := s.node.Read(ctx, func() {
-		answer.Members = s.node.Core().Members().GetMembers()
-		answer.LeaderReplicaId = s.node.Core().Status().Leader
+		response.Members = s.node.Core().Members().GetMembers()
+		response.LeaderReplicaId = s.node.Core().Status().Leader
 	})
-	answer.Waiting = s.founder.PendingJoins()
-	return answer, turned(err)
+	response.Waiting = s.bootstrapper.PendingJoins()
+	return response, statusError(err)
 }
 
-// ChangeControlMember adds a waiting replica, removes a member, or replaces
-// one by the other. Each step is a change of its own and is committed before
-// the next. To replace, the new replica first catches up without a vote; then
-// the old one goes and the new one gets its vote, so that a second loss right
-// after finds a voter that holds everything. A change whose answer was lost is
-// simply asked for again.
+// ChangeControlMember adds a replica that asks to join, removes a member, or replaces a
+// member by such a replica. Each step is a separate change and is committed before the
+// next one. For a replacement the new replica first catches up as a learner, then the old
+// member is removed and the new one promoted, so that it has the whole log when it starts
+// to vote. The call is idempotent.
 func (s *operatorService) ChangeControlMember(ctx context.Context, r *wire.ChangeControlMemberRequest) (*wire.ChangeControlMemberResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
 	if r.AddName == "" && r.RemoveReplicaId == 0 {
@@ -177,37 +176,37 @@
 			return nil, err
 		}
 		added = m.ReplicaId
-		if err := s.step(ctx, func(c *quorum.Core) error { return c.AddLearner(m) }); err != nil {
+		if err := s.changeMembership(ctx, func(c *quorum.Core) error { return c.AddLearner(m) }); err != nil {
 			return nil, err
 		}
-		if err := s.caughtUp(ctx, added); err != nil {
+		if err := s.awaitCaughtUp(ctx, added); err != nil {
 			return nil, err
 		}
 	}
 	if r.RemoveReplicaId != 0 {
-		err := s.step(ctx, func(c *quorum.Core) error {
+		err := s.changeMembership(ctx, func(c *quorum.Core) error {
 			if err := c.Remove(r.RemoveReplicaId); !errors.Is(err, quorum.ErrUnknownMember) {
 				return err
 			}
-			return nil // removed by an earlier try
+			return nil // removed by an earlier call
 		})
 		if err != nil {
 			return nil, err
 		}
 	}
 	if added != 0 {
-		if err := s.step(ctx, func(c *quorum.Core) error { return c.Promote(added) }); err != nil {
+		if err := s.changeMembership(ctx, func(c *quorum.Core) error { return c.Promote(added) }); err != nil {
 			return nil, err
 		}
 	}
-	answer := &wire.ChangeControlMemberResponse{}
-	return answer, turned(s.node.Do(ctx, func() { answer.Members = s.node.Core().Members().GetMembers() }))
+	response := &wire.ChangeControlMemberResponse{}
+	return response, statusError(s.node.Do(ctx, func() { response.Members = s.node.Core().Members().GetMembers() }))
 }
 
-// candidate finds the replica to add among those waiting, or among the
-// learners of an earlier try.
+// candidate returns the replica to add: one that asks to join, or a learner added by an
+// earlier call.
 func (s *operatorService) candidate(ctx context.Context, name string) (*wire.ControlMember, error) {
-	for _, m := range s.founder.PendingJoins() {
+	for _, m := range s.bootstrapper.PendingJoins() {
 		if m.Name == name {
 			return m, nil
 		}
@@ -221,7 +220,7 @@
 		}
 	})
 	if err != nil {
-		return nil, turned(err)
+		return nil, statusError(err)
 	}
 	if found == nil {
 		return nil, status.Errorf(codes.NotFound, "no replica named %q waits to be let in", name)
@@ -229,24 +228,25 @@
 	return found, nil
 }
 
-// step makes one change once the change before it is committed, and waits
+// changeMembership makes one change after the previous change is committed, and waits
 // until it is committed itself.
-func (s *operatorService) step(ctx context.Context, change func(*quorum.Core) error) error {
-	return s.poll(ctx, func(c *quorum.Core) error { return change(c) }, func(c *quorum.Core) error { return c.MembershipCommitted() })
+func (s *operatorService) changeMembership(ctx context.Context, change func(*quorum.Core) error) error {
+	return s.pollSteps(ctx, func(c *quorum.Core) error { return change(c) }, func(c *quorum.Core) error { return c.MembershipCommitted() })
 }
 
-// caughtUp waits until the learner could be promoted.
-func (s *operatorService) caughtUp(ctx context.Context, id uint64) error {
-	return s.poll(ctx, func(c *quorum.Core) error { return c.CaughtUp(id) })
+// awaitCaughtUp waits until a learner can be promoted.
+func (s *operatorService) awaitCaughtUp(ctx context.Context, id uint64) error {
+	return s.pollSteps(ctx, func(c *quorum.Core) error { return c.CaughtUp(id) })
 }
 
-// poll runs each step on the loop until it no longer asks for patience.
-func (s *operatorService) poll(ctx context.Context, steps ...func(*quorum.Core) error) error {
+// pollSteps runs each step on the event loop, and repeats it while a membership change is
+// pending or a learner isn't ready.
+func (s *operatorService) pollSteps(ctx context.Context, steps ...func(*quorum.Core) error) error {
 	for _, step := range steps {
 		for {
 			var err error
-			if lost := s.node.Do(ctx, func() { err = step(s.node.Core()) }); lost != nil {
-				return turned(lost)
+			if loopErr := s.node.Do(ctx, func() { err = step(s.node.Core()) }); loopErr != nil {
+				return statusError(loopErr)
 			}
 			if err == nil {
 				break
@@ -271,20 +271,20 @@
 	return status.Error(codes.FailedPrecondition, err.Error())
 }
 
-// GetStatus gives the counts that an operator looks at first.
+// GetStatus returns an overview of the cluster.
 func (s *operatorService) GetStatus(ctx context.Context, _ *wire.GetStatusRequest) (*wire.GetStatusResponse, error) {
-	if err := s.started(); err != nil {
+	if err := s.checkStarted(); err != nil {
 		return nil, err
 	}
-	answer := &wire.GetStatusResponse{Entries: s.entries.list(s.clock.Now())}
+	response := &wire.GetStatusResponse{Entries: s.entries.list(s.clock.Now())}
 	err := s.node.Read(ctx, func() {
 		core := s.node.Core().Status()
 		queued, running, finished := s.machine.Counts()
-		answer.Leader, answer.Term, answer.CommitIndex = s.self.Name, core.Term, core.Commit
-		answer.ConfigurationVersion = s.machine.Configuration().Version
-		answer.Workers = uint32(len(s.machine.Workers()))
-		answer.DrainedDomains, _ = s.machine.Graph().DrainedDomains()
-		answer.Queued, answer.Running, answer.Finished = uint32(queued), uint32(running), finished
+		response.Leader, response.Term, response.CommitIndex = s.self.Name, core.Term, core.Commit
+		response.ConfigurationVersion = s.machine.Configuration().Version
+		response.Workers = uint32(len(s.machine.Workers()))
+		response.DrainedDomains, _ = s.machine.Graph().DrainedDomains()
+		response.Queued, response.Running, response.Finished = uint32(queued), uint32(running), finished
 	})
-	return answer, turned(err)
+	return response, statusError(err)
 }
