--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,7 +1,5 @@
-// This file starts the model.
-
-// Command standin is the project's model of what lies outside sycamoredeck. It
-// is for tests, demos and experiments, and is never part of the product.
+// Command standin simulates the backend servers, workers and callers around
+// sycamoredeck, for tests, demos and measurements.
 package main
 
 import (
--- a/cmd/sycamoredeck/main.go
+++ b/cmd/sycamoredeck/main.go
@@ -1,7 +1,5 @@
-// This file starts the program.
-
-// Command sycamoredeck is the scheduler: its entry and control processes, and
-// the commands for callers and operators.
+// Command sycamoredeck runs the entry and control processes of the scheduler, and
+// provides the commands for callers and operators.
 package main
 
 import (
--- a/example_test.go
+++ b/example_test.go
@@ -1,4 +1,4 @@
-// This file defines examples of the parts that others may embed.
+// This file contains examples of the exported components.
 
 package sycamoredeck_test
 
@@ -9,8 +9,7 @@
 	sycamoredeck "sycamoredeck.example"
 )
 
-// A leader grants a lease and calls the worker lost only once the lease has
-// surely run out.
+// A worker counts as lost only after its lease has expired for certain.
 func ExampleLeaseTable() {
 	since := time.Unix(0, 0)
 	table := sycamoredeck.NewLeaseTable(since, 4*time.Second, time.Second)
@@ -23,7 +22,7 @@
 	// true
 }
 
-// Two entries that see each other divide a server's slots without a message.
+// Two entries that know each other divide the slots of a server without communicating.
 func ExampleSlotDivider() {
 	now := time.Unix(0, 0)
 	entries := []string{"a", "b"}
@@ -35,7 +34,7 @@
 	// Output: 0 8
 }
 
-// A greedy account waits in its own line.
+// An account with many calls doesn't delay those of another account.
 func ExampleFairQueue() {
 	var q sycamoredeck.FairQueue[int]
 	for range 3 {
--- a/internal/cli/cmds/call.go
+++ b/internal/cli/cmds/call.go
@@ -1,4 +1,4 @@
-// This file defines the call command.
+// This file implements the call command.
 
 package cmds
 
@@ -30,12 +30,12 @@
 	c.Flags().BoolVar(&idempotent, "idempotent", false, "running the request twice does no harm")
 	c.Flags().BoolVar(&resend, "resend", false, "this request id was sent before, and whether it ran isn't known")
 	return p.clientCommand(c, func(ctx context.Context, cl *client, conn *grpc.ClientConn, args []string) error {
-		payload, err := payloadOf(args[2:], payloadFile)
+		payload, err := readPayload(args[2:], payloadFile)
 		if err != nil {
 			return usageError{err}
 		}
 		request := &wire.CallRequest{
-			RequestId: orRandom(id), ClientAccount: args[0], Service: args[1],
+			RequestId: randomIfEmpty(id), ClientAccount: args[0], Service: args[1],
 			Payload: payload, Idempotent: idempotent, Resend: resend,
 		}
 		if deadline, ok := ctx.Deadline(); ok {
@@ -45,18 +45,18 @@
 		if err != nil {
 			return err
 		}
-		return cl.showCall(request, response)
+		return cl.printCall(request, response)
 	})
 }
 
-func orRandom(id string) string {
+func randomIfEmpty(id string) string {
 	if id == "" {
 		return uuid.NewString()
 	}
 	return id
 }
 
-func payloadOf(args []string, file string) ([]byte, error) {
+func readPayload(args []string, file string) ([]byte, error) {
 	switch {
 	case len(args) > 0 && file != "":
 		return nil, fmt.Errorf("give the payload as an argument or a file, not both")
@@ -71,7 +71,7 @@
 	}
 }
 
-func (cl *client) showCall(request *wire.CallRequest, r *wire.CallResponse) error {
+func (cl *client) printCall(request *wire.CallRequest, r *wire.CallResponse) error {
 	if r.RequestId != request.RequestId {
 		return &outcomeError{ExitUnknown, fmt.Sprintf("the answer is to request %q", r.RequestId)}
 	}
--- a/internal/cli/cmds/client.go
+++ b/internal/cli/cmds/client.go
@@ -1,4 +1,4 @@
-// This file defines how client commands reach an entry and print.
+// This file implements the connection of client commands to an entry, and their output.
 
 package cmds
 
@@ -22,20 +22,20 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// connectTimeout bounds the wait for one entry.
+// connectTimeout is the time limit for connecting to one entry.
 const connectTimeout = 2 * time.Second
 
-// errUnreachable is the reason to try the next entry.
+// errUnreachable makes a command try the next entry.
 var errUnreachable = errors.New("can't be reached")
 
-// client is one client command's way to the entries.
+// client holds the settings and the output of one client command.
 type client struct {
 	settings *wire.ClientSettings
 	out      io.Writer
 }
 
-// clientCommand makes a command that talks to an entry. Run is tried at one
-// entry after the other while none can be reached.
+// clientCommand turns c into a command that calls an entry. It tries the entries in order
+// and calls run with a connection to the first one that is reachable.
 func (p *program) clientCommand(c *cobra.Command, run func(ctx context.Context, cl *client, conn *grpc.ClientConn, args []string) error) *cobra.Command {
 	settings := &wire.ClientSettings{}
 	binder := setup.Bind(settings, c.Flags())
@@ -48,7 +48,7 @@
 		cl := &client{settings: settings, out: p.out}
 		var err error
 		for _, address := range settings.Entry {
-			err = cl.at(ctx, address, func(conn *grpc.ClientConn) error { return run(ctx, cl, conn, args) })
+			err = cl.withConn(ctx, address, func(conn *grpc.ClientConn) error { return run(ctx, cl, conn, args) })
 			if !errors.Is(err, errUnreachable) {
 				return err
 			}
@@ -58,24 +58,24 @@
 	return c
 }
 
-// at connects to one entry before anything is sent, so that trying the next
-// can't do anything twice.
-func (cl *client) at(ctx context.Context, address string, run func(*grpc.ClientConn) error) error {
+// withConn calls run with a connection to an entry. It connects before anything is sent,
+// so that trying the next entry never repeats a request.
+func (cl *client) withConn(ctx context.Context, address string, run func(*grpc.ClientConn) error) error {
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(link.MaxMessageBytes)))
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	if !connected(ctx, conn) {
+	if !waitReady(ctx, conn) {
 		return fmt.Errorf("not run: entry %s %w", address, errUnreachable)
 	}
 	return run(conn)
 }
 
-// connected waits until the connection stands. It gives up at the first
-// failure, since there are other entries.
-func connected(ctx context.Context, conn *grpc.ClientConn) bool {
+// waitReady waits until the connection is established. It returns false after the first
+// failed attempt, since other entries can be tried.
+func waitReady(ctx context.Context, conn *grpc.ClientConn) bool {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	conn.Connect()
@@ -94,8 +94,8 @@
 	}
 }
 
-// print writes a message as the settings ask: JSON in the schema's names, or
-// the text that the command makes.
+// print writes a message as JSON or, by calling text, as a table, depending on the
+// settings.
 func (cl *client) print(m proto.Message, text func(w io.Writer)) error {
 	if cl.settings.Output != "json" {
 		w := tabwriter.NewWriter(cl.out, 0, 4, 2, ' ', 0)
@@ -110,10 +110,10 @@
 	return err
 }
 
-// readMessage reads a message in JSON from a file; - is standard input. All that
-// can be wrong is a mistake of whoever gave the command.
+// readMessage reads a message in JSON from a file, or from standard input if path is "-".
+// All errors are usage errors.
 func readMessage(path string, into proto.Message) error {
-	data, err := payloadOf(nil, path)
+	data, err := readPayload(nil, path)
 	if err != nil {
 		return usageError{err}
 	}
--- a/internal/cli/cmds/config.go
+++ b/internal/cli/cmds/config.go
@@ -1,4 +1,4 @@
-// This file defines the config commands.
+// This file implements the config commands.
 
 package cmds
 
@@ -35,7 +35,7 @@
 	return c, nil
 }
 
-func current(ctx context.Context, conn *grpc.ClientConn) (*wire.ConfigurationVersion, error) {
+func currentConfiguration(ctx context.Context, conn *grpc.ClientConn) (*wire.ConfigurationVersion, error) {
 	r, err := wire.NewOperatorServiceClient(conn).GetConfiguration(ctx, &wire.GetConfigurationRequest{})
 	return r.GetCurrent(), err
 }
@@ -43,18 +43,18 @@
 func (p *program) configGet() *cobra.Command {
 	c := &cobra.Command{Use: "get", Short: "Print the configuration in force", Args: cobra.NoArgs}
 	return p.clientCommand(c, func(ctx context.Context, cl *client, conn *grpc.ClientConn, _ []string) error {
-		v, err := current(ctx, conn)
+		v, err := currentConfiguration(ctx, conn)
 		if err != nil {
 			return err
 		}
 		return cl.print(v, func(w io.Writer) {
 			fmt.Fprintf(os.Stderr, "version %d\n", v.Version)
-			fmt.Fprintln(w, jsonText(v.Configuration))
+			fmt.Fprintln(w, indentedJSON(v.Configuration))
 		})
 	})
 }
 
-func jsonText(m proto.Message) string {
+func indentedJSON(m proto.Message) string {
 	data, err := protojson.MarshalOptions{Multiline: true, Indent: "  "}.Marshal(m)
 	if err != nil {
 		return err.Error()
@@ -74,14 +74,14 @@
 			return err
 		}
 		if expected < 0 {
-			v, err := current(ctx, conn)
+			v, err := currentConfiguration(ctx, conn)
 			if err != nil {
 				return err
 			}
 			expected = int64(v.Version)
 		}
 		r, err := wire.NewOperatorServiceClient(conn).ApplyConfiguration(ctx, &wire.ApplyConfigurationRequest{
-			OperationId: orRandom(operation), ExpectedVersion: uint64(expected), Configuration: configuration,
+			OperationId: randomIfEmpty(operation), ExpectedVersion: uint64(expected), Configuration: configuration,
 		})
 		if err != nil {
 			return err
@@ -105,7 +105,7 @@
 		if err != nil {
 			return err
 		}
-		v, err := current(ctx, conn)
+		v, err := currentConfiguration(ctx, conn)
 		if err != nil {
 			return err
 		}
@@ -120,29 +120,29 @@
 	})
 }
 
-// element is one account, service or job kind, by a key that people know.
+// element is one account, service or job kind of a configuration.
 type element struct{ key, text string }
 
 func elements(c *wire.Configuration) []element {
 	var list []element
 	for _, a := range c.GetClientAccounts() {
-		list = append(list, element{"client account " + a.Name, compact(a)})
+		list = append(list, element{"client account " + a.Name, compactJSON(a)})
 	}
 	for _, s := range c.GetServices() {
-		list = append(list, element{"service " + s.Name, compact(s)})
+		list = append(list, element{"service " + s.Name, compactJSON(s)})
 	}
 	for _, k := range c.GetJobKinds() {
-		list = append(list, element{"job kind " + k.ClientAccount + "/" + k.Name, compact(k)})
+		list = append(list, element{"job kind " + k.ClientAccount + "/" + k.Name, compactJSON(k)})
 	}
 	return list
 }
 
-func compact(m proto.Message) string {
+func compactJSON(m proto.Message) string {
 	data, err := protojson.Marshal(m)
 	if err != nil {
 		return err.Error()
 	}
-	// protojson varies its spaces from build to build.
+	// The whitespace in protojson's output differs between builds.
 	return strings.ReplaceAll(string(data), ", ", ",")
 }
 
--- a/internal/cli/cmds/domain.go
+++ b/internal/cli/cmds/domain.go
@@ -1,4 +1,4 @@
-// This file defines the commands about failure domains.
+// This file implements the domain commands.
 
 package cmds
 
--- a/internal/cli/cmds/job.go
+++ b/internal/cli/cmds/job.go
@@ -1,4 +1,4 @@
-// This file defines the job commands.
+// This file implements the job commands.
 
 package cmds
 
@@ -39,7 +39,7 @@
 	c.Flags().Uint64Var(&memory, "memory-bytes", 0, "bytes of memory")
 	c.Flags().Uint64Var(&accelerators, "accelerators", 0, "accelerators")
 	return p.clientCommand(c, func(ctx context.Context, cl *client, conn *grpc.ClientConn, args []string) error {
-		payload, err := payloadOf(args[2:], payloadFile)
+		payload, err := readPayload(args[2:], payloadFile)
 		if err != nil {
 			return usageError{err}
 		}
@@ -50,7 +50,7 @@
 		if cpu > 0 || memory > 0 || accelerators > 0 {
 			spec.Resources = &wire.Resources{MilliProcessors: cpu, MemoryBytes: memory, Accelerators: accelerators}
 		}
-		r, err := wire.NewJobServiceClient(conn).Submit(ctx, &wire.SubmitRequest{IdempotencyKey: orRandom(key), Spec: spec})
+		r, err := wire.NewJobServiceClient(conn).Submit(ctx, &wire.SubmitRequest{IdempotencyKey: randomIfEmpty(key), Spec: spec})
 		if err != nil {
 			return err
 		}
@@ -65,11 +65,11 @@
 		if err != nil {
 			return err
 		}
-		return cl.print(r.Job, func(w io.Writer) { showJob(w, r.Job) })
+		return cl.print(r.Job, func(w io.Writer) { printJob(w, r.Job) })
 	})
 }
 
-func showJob(w io.Writer, j *wire.Job) {
+func printJob(w io.Writer, j *wire.Job) {
 	fmt.Fprintf(w, "job\t%s\n", j.JobId)
 	fmt.Fprintf(w, "client account\t%s\n", j.Spec.ClientAccount)
 	fmt.Fprintf(w, "job kind\t%s\n", j.Spec.JobKind)
@@ -161,7 +161,7 @@
 			}
 			last = r.Job
 		}
-		if err := cl.print(last, func(w io.Writer) { showJob(w, last) }); err != nil {
+		if err := cl.print(last, func(w io.Writer) { printJob(w, last) }); err != nil {
 			return err
 		}
 		switch last.GetState() {
--- a/internal/cli/cmds/operate.go
+++ b/internal/cli/cmds/operator.go
@@ -1,4 +1,4 @@
-// This file defines the commands for members, backend servers, workers, status.
+// This file implements the control-member, backend, worker and status commands.
 
 package cmds
 
@@ -42,16 +42,16 @@
 		return cl.print(r, func(w io.Writer) {
 			fmt.Fprintln(w, "REPLICA\tNAME\tADDRESS\tROLE")
 			for _, m := range r.Members {
-				showMember(w, m, roleOf(m, r.LeaderReplicaId))
+				printMember(w, m, roleOf(m, r.LeaderReplicaId))
 			}
 			for _, m := range r.Waiting {
-				showMember(w, m, "waiting")
+				printMember(w, m, "waiting")
 			}
 		})
 	})
 }
 
-func showMember(w io.Writer, m *wire.ControlMember, role string) {
+func printMember(w io.Writer, m *wire.ControlMember, role string) {
 	fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", m.ReplicaId, m.Name, m.Address, role)
 }
 
@@ -79,7 +79,7 @@
 		}
 		return cl.print(r, func(w io.Writer) {
 			for _, m := range r.Members {
-				showMember(w, m, roleOf(m, 0))
+				printMember(w, m, roleOf(m, 0))
 			}
 		})
 	})
--- a/internal/cli/cmds/root.go
+++ b/internal/cli/cmds/root.go
@@ -1,6 +1,4 @@
-// This file defines the command tree, exit codes and how errors are shown.
-
-// Package cmds is the command line of sycamoredeck.
+// Package cmds implements the command line of sycamoredeck.
 package cmds
 
 import (
@@ -26,7 +24,7 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// The exit codes.
+// Exit codes of the program.
 const (
 	ExitOK      = 0
 	ExitFailed  = 1
@@ -36,36 +34,36 @@
 )
 
 type (
-	// usageError is a mistake on the command line or in a file given there.
+	// usageError is a mistake on the command line or in an input file.
 	usageError struct{ error }
 
-	// outcomeError carries the exit code of a request that has an outcome.
+	// outcomeError is an unsuccessful outcome of a request, with its exit code.
 	outcomeError struct {
 		code   int
 		reason string
 	}
 
-	// Platforms connect the daemons with what lies outside and doesn't speak
-	// their gRPC interface. The zero value connects with nothing.
+	// Platforms hold the daemons' adapters to a platform whose clients and agents don't
+	// use the gRPC interfaces. The zero value adapts to none.
 	Platforms struct {
 		Entry   entry.Platform
 		Control ctrl.Platform
 	}
 
-	// program is what the commands share.
+	// program holds what all commands share.
 	program struct {
 		out, err  io.Writer
 		platforms Platforms
 	}
 )
 
-// Unwrap gives the mistake.
+// Unwrap returns the underlying error.
 func (e usageError) Unwrap() error { return e.error }
 
-// Error gives the reason.
+// Error returns the reason.
 func (e *outcomeError) Error() string { return e.reason }
 
-// Main runs one command line and returns its exit code.
+// Main executes a command line and returns the exit code.
 func Main(args []string, out, errOut io.Writer, platforms Platforms) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -78,11 +76,11 @@
 	if err == nil {
 		return ExitOK
 	}
-	fmt.Fprintf(errOut, "sycamoredeck: %s\n", message(err))
+	fmt.Fprintf(errOut, "sycamoredeck: %s\n", errorMessage(err))
 	return exitCode(err)
 }
 
-func message(err error) string {
+func errorMessage(err error) string {
 	var outcome *outcomeError
 	if errors.As(err, &outcome) {
 		return outcome.reason
@@ -126,13 +124,13 @@
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	root.AddCommand(p.entryCommand(), p.controlCommand(), p.callCommand(), p.jobCommand(), p.workCommand(), p.catalogCommand(), p.domainCommand(), p.configCommand(),
 		p.memberCommand(), p.backendCommand(), p.workerCommand(), p.statusCommand(), p.versionCommand())
-	requireKnown(root)
+	requireSubcommand(root)
 	return root
 }
 
-// requireKnown makes a group without or with an unknown subcommand a mistake;
-// cobra would print help and exit as if all were well.
-func requireKnown(c *cobra.Command) {
+// requireSubcommand makes missing and unknown subcommands usage errors in c and all
+// commands below it. By default cobra prints the help and succeeds.
+func requireSubcommand(c *cobra.Command) {
 	if c.HasSubCommands() && c.RunE == nil {
 		c.Args = cobra.ArbitraryArgs
 		c.RunE = func(c *cobra.Command, args []string) error {
@@ -150,23 +148,23 @@
 		}
 	}
 	for _, sub := range c.Commands() {
-		requireKnown(sub)
+		requireSubcommand(sub)
 	}
 }
 
-// daemon makes the command of a long-running process. Run gets a channel of
-// settings that were read anew, after SIGHUP or a change of the settings file.
+// daemon returns the command of a long-running process. Run receives the settings again
+// after each SIGHUP and each change of the settings file.
 func daemon[M proto.Message](use, short string, settings M, run func(context.Context, M, *slog.Logger, <-chan M) error, p *program) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs}
 	binder := setup.Bind(settings, c.Flags())
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		// From the first moment on: a hangup ends a process that doesn't heed it.
+		// Installed first, since an unhandled SIGHUP terminates the process.
 		hangups := make(chan os.Signal, 1)
 		signal.Notify(hangups, syscall.SIGHUP)
 		if err := binder.Load(); err != nil {
 			return err
 		}
-		logger, flush := admin.Logger(p.out, common(settings))
+		logger, flush := admin.Logger(p.out, commonSettings(settings))
 		defer flush()
 		reloads := make(chan M, 1)
 		go binder.Watch(c.Context(), hangups, func() { reload(binder, logger, reloads) })
@@ -175,24 +173,24 @@
 	return c
 }
 
-// common are the settings that all daemons share.
-func common(settings proto.Message) *wire.CommonSettings {
+// commonSettings returns the settings that all daemons share.
+func commonSettings(settings proto.Message) *wire.CommonSettings {
 	shared, _ := settings.(interface{ GetCommon() *wire.CommonSettings })
 	return shared.GetCommon()
 }
 
-// reload reads the settings anew. Wrong ones leave the old in force.
+// reload loads the settings again. On an error the previous settings remain in force.
 func reload[M proto.Message](binder *setup.Binder, logger *slog.Logger, reloads chan M) {
 	fresh, err := binder.Reload()
 	if err != nil {
-		logger.Error("settings not read anew; the old ones stay", "error", err)
+		logger.Error("settings reload failed, previous settings remain in force", "error", err)
 		return
 	}
-	logger.Info("settings read anew")
+	logger.Info("settings reloaded")
 	select {
 	case reloads <- fresh.(M):
 	default:
-		logger.Warn("settings change faster than they are taken; the next change is taken")
+		logger.Warn("settings change dropped, previous one not yet applied")
 	}
 }
 
--- a/internal/cli/cmds/work.go
+++ b/internal/cli/cmds/work.go
@@ -1,4 +1,4 @@
-// This file defines the commands about jobs of steps and their catalog.
+// This file implements the work and catalog commands.
 
 package cmds
 
@@ -34,7 +34,7 @@
 		if err := readMessage(args[2], spec); err != nil {
 			return err
 		}
-		r, err := wire.NewWorkServiceClient(conn).SubmitWork(ctx, &wire.SubmitWorkRequest{Target: targetOf(args), Spec: spec})
+		r, err := wire.NewWorkServiceClient(conn).SubmitWork(ctx, &wire.SubmitWorkRequest{Target: workTarget(args), Spec: spec})
 		if err != nil {
 			return err
 		}
@@ -45,18 +45,18 @@
 func (p *program) workGet() *cobra.Command {
 	c := &cobra.Command{Use: "get HOST PATH", Short: "Show a job with its steps and tasks, or how many jobs of a queue wait", Args: cobra.ExactArgs(2)}
 	return p.clientCommand(c, func(ctx context.Context, cl *client, conn *grpc.ClientConn, args []string) error {
-		r, err := wire.NewWorkServiceClient(conn).InspectWork(ctx, &wire.InspectWorkRequest{Target: targetOf(args), WithJob: true})
+		r, err := wire.NewWorkServiceClient(conn).InspectWork(ctx, &wire.InspectWorkRequest{Target: workTarget(args), WithJob: true})
 		if err != nil {
 			return err
 		}
-		return cl.printAnswer(r, r.Answer, r.Reason, func(w io.Writer) { showWork(w, r) })
+		return cl.printAnswer(r, r.Answer, r.Reason, func(w io.Writer) { printWork(w, r) })
 	})
 }
 
 func (p *program) workCancel() *cobra.Command {
 	c := &cobra.Command{Use: "cancel HOST PATH", Short: "Cancel a job", Args: cobra.ExactArgs(2)}
 	return p.clientCommand(c, func(ctx context.Context, cl *client, conn *grpc.ClientConn, args []string) error {
-		r, err := wire.NewWorkServiceClient(conn).CancelWork(ctx, &wire.CancelWorkRequest{Target: targetOf(args)})
+		r, err := wire.NewWorkServiceClient(conn).CancelWork(ctx, &wire.CancelWorkRequest{Target: workTarget(args)})
 		if err != nil {
 			return err
 		}
@@ -95,11 +95,11 @@
 	})
 }
 
-func targetOf(args []string) *wire.WorkTarget {
+func workTarget(args []string) *wire.WorkTarget {
 	return &wire.WorkTarget{Host: args[0], Path: args[1]}
 }
 
-// printAnswer prints a message, or makes an error of an answer that refuses.
+// printAnswer prints a message, or returns an error if the answer is a refusal.
 func (cl *client) printAnswer(m proto.Message, answer wire.WorkAnswer, reason string, text func(io.Writer)) error {
 	if answer == wire.WorkAnswer_WORK_ANSWER_DONE {
 		return cl.print(m, text)
@@ -115,7 +115,7 @@
 	return &outcomeError{code: code, reason: name}
 }
 
-func showWork(w io.Writer, r *wire.InspectWorkResponse) {
+func printWork(w io.Writer, r *wire.InspectWorkResponse) {
 	if r.Job == nil {
 		fmt.Fprintf(w, "pending\t%d\n", r.Pending)
 		return
--- a/internal/model/audit/audit.go
+++ b/internal/model/audit/audit.go
@@ -16,8 +16,8 @@
 	"sycamoredeck.example/internal/model/front"
 )
 
-// maxLine is the longest journal line read.
-const maxLine = 1 << 20
+// maxLineBytes is the longest journal line read.
+const maxLineBytes = 1 << 20
 
 type (
 	// Findings are counts of broken promises, and the first few in words.
@@ -38,7 +38,7 @@
 		Examples      []string
 	}
 
-	history struct {
+	eventHistory struct {
 		events []front.Event
 	}
 )
@@ -57,7 +57,7 @@
 			return nil, err
 		}
 		scanner := bufio.NewScanner(file)
-		scanner.Buffer(nil, maxLine)
+		scanner.Buffer(nil, maxLineBytes)
 		for scanner.Scan() {
 			var e front.Event
 			if json.Unmarshal(scanner.Bytes(), &e) == nil {
@@ -77,20 +77,20 @@
 // request id is of one that must not run twice.
 func Check(events []front.Event, once func(id string) bool) *Findings {
 	f := &Findings{}
-	tasks, requests := map[string]*history{}, map[string]*history{}
+	tasks, requests := map[string]*eventHistory{}, map[string]*eventHistory{}
 	for _, e := range events {
 		group := tasks
 		if e.Attempt == 0 {
 			group = requests
 		}
 		if group[e.ID] == nil {
-			group[e.ID] = &history{}
+			group[e.ID] = &eventHistory{}
 		}
 		group[e.ID].events = append(group[e.ID].events, e)
 	}
 	f.Tasks, f.Requests = len(tasks), len(requests)
 	for id, h := range tasks {
-		f.checkTask(id, h)
+		f.checkJob(id, h)
 	}
 	for id, h := range requests {
 		f.checkRequest(id, h, once(id))
@@ -98,7 +98,7 @@
 	return f
 }
 
-func (f *Findings) checkTask(id string, h *history) {
+func (f *Findings) checkJob(id string, h *eventHistory) {
 	var latest uint32
 	finished := map[uint32]bool{}
 	done := map[uint64]uint32{}
@@ -109,7 +109,7 @@
 		case "unit":
 			if e.Attempt < latest {
 				f.Overlaps++
-				f.example("job %s: attempt %d on %s did unit %d after attempt %d had begun", id, e.Attempt, e.Source, e.Unit, latest)
+				f.addExample("job %s: attempt %d on %s did unit %d after attempt %d had begun", id, e.Attempt, e.Source, e.Unit, latest)
 			}
 			if by := done[e.Unit]; by != 0 && by != e.Attempt {
 				f.UnitsRepeated++
@@ -124,11 +124,11 @@
 	}
 	if len(finished) > 1 {
 		f.FinishedTwice++
-		f.example("job %s: finished by %d attempts", id, len(finished))
+		f.addExample("job %s: finished by %d attempts", id, len(finished))
 	}
 }
 
-func (f *Findings) checkRequest(id string, h *history, once bool) {
+func (f *Findings) checkRequest(id string, h *eventHistory, once bool) {
 	runs, notRun := 0, false
 	for _, e := range h.events {
 		switch e.Kind {
@@ -140,15 +140,15 @@
 	}
 	if once && runs > 1 {
 		f.RunTwice++
-		f.example("request %s: ran %d times", id, runs)
+		f.addExample("request %s: ran %d times", id, runs)
 	}
 	if notRun && runs > 0 {
 		f.NotRunButRan++
-		f.example("request %s: ran, and its caller was told not run", id)
+		f.addExample("request %s: ran, and its caller was told not run", id)
 	}
 }
 
-func (f *Findings) example(format string, args ...any) {
+func (f *Findings) addExample(format string, args ...any) {
 	if len(f.Examples) < 10 {
 		f.Examples = append(f.Examples, fmt.Sprintf(format, args...))
 	}
--- a/internal/model/caller/caller.go
+++ b/internal/model/caller/caller.go
@@ -27,13 +27,13 @@
 )
 
 const (
-	maxRecorded = int64(10 * time.Minute / time.Microsecond)
-	digits      = 3
+	maxLatencyMicros  = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 	// maxReasons bounds the reasons told apart.
 	maxReasons = 20
-	// spinRate is the rate from which the pacing is exact, at the cost of a
+	// exactPacingRate is the rate from which the pacing is exact, at the cost of a
 	// processor.
-	spinRate = 500
+	exactPacingRate = 500
 	// maxOutstanding bounds the requests waiting at once.
 	maxOutstanding = 20000
 )
@@ -92,7 +92,7 @@
 func Run(ctx context.Context, options Options) (*Report, error) {
 	r := &run{
 		options: options, payload: bytes.Repeat([]byte("x"), options.PayloadBytes),
-		latency: hdrhistogram.New(1, maxRecorded, digits), notRun: hdrhistogram.New(1, maxRecorded, digits),
+		latency: hdrhistogram.New(1, maxLatencyMicros, significantDigits), notRun: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
 	}
 	if options.Direct != "" {
 		r.direct = &fasthttp.HostClient{Addr: options.Direct, MaxConns: maxOutstanding}
@@ -101,15 +101,15 @@
 	}
 	defer r.close()
 	began := time.Now()
-	r.load(ctx, began)
+	r.sendAll(ctx, began)
 	r.report.Seconds = time.Since(began).Seconds()
-	return r.result(), nil
+	return r.summarize(), nil
 }
 
 // await waits until a moment. The runtime's timers are a millisecond coarse,
 // which would send a fast load in bursts, so the last stretch is spun.
-func (r *run) await(due time.Time) {
-	if r.options.Rate < spinRate {
+func (r *run) waitUntil(due time.Time) {
+	if r.options.Rate < exactPacingRate {
 		time.Sleep(time.Until(due))
 		return
 	}
@@ -140,23 +140,23 @@
 }
 
 // load sends requests at exponentially spread moments (a Poisson process).
-func (r *run) load(ctx context.Context, began time.Time) {
+func (r *run) sendAll(ctx context.Context, began time.Time) {
 	random := rand.New(rand.NewPCG(r.options.Seed, 2))
 	var group sync.WaitGroup
 	tokens := make(chan struct{}, maxOutstanding)
 	due := began
 	for i := 0; due.Sub(began) < r.options.Duration && ctx.Err() == nil; i++ {
-		r.await(due)
+		r.waitUntil(due)
 		idempotent := random.Float64() < r.options.IdempotentShare
 		select {
 		case tokens <- struct{}{}:
 			at, id := due, fmt.Sprintf("%s-%d", r.options.Prefix, i)
 			group.Go(func() {
 				defer func() { <-tokens }()
-				r.one(ctx, id, idempotent, at)
+				r.sendWithRetries(ctx, id, idempotent, at)
 			})
 		default:
-			r.count(func(s *Report) { s.Skipped++ })
+			r.update(func(s *Report) { s.Skipped++ })
 		}
 		due = due.Add(time.Duration(random.ExpFloat64() / r.options.Rate * float64(time.Second)))
 	}
@@ -164,20 +164,20 @@
 }
 
 // one sends a request and, when told that it was not run, returns as told.
-func (r *run) one(ctx context.Context, id string, idempotent bool, due time.Time) {
-	r.count(func(s *Report) { s.Sent++ })
+func (r *run) sendWithRetries(ctx context.Context, id string, idempotent bool, due time.Time) {
+	r.update(func(s *Report) { s.Sent++ })
 	for returns := 0; ; returns++ {
 		response, err := r.send(ctx, id, idempotent)
 		if err != nil {
-			r.fail(err, idempotent)
+			r.recordError(err, idempotent)
 			return
 		}
 		if response.Outcome == wire.Outcome_OUTCOME_NOT_RUN && r.options.FollowRetryAfter && returns < r.options.MaxRetries {
-			r.count(func(s *Report) { s.Returns++ })
+			r.update(func(s *Report) { s.Returns++ })
 			time.Sleep(response.RetryAfter.AsDuration())
 			continue
 		}
-		r.note(id, response, time.Since(due))
+		r.recordResponse(id, response, time.Since(due))
 		return
 	}
 }
@@ -227,8 +227,8 @@
 	}, nil
 }
 
-func (r *run) fail(err error, idempotent bool) {
-	r.count(func(s *Report) {
+func (r *run) recordError(err error, idempotent bool) {
+	r.update(func(s *Report) {
 		if !idempotent && status.Code(err) == codes.Unavailable {
 			s.Unknown++ // the entry died under it; only its record knows
 			return
@@ -240,7 +240,7 @@
 	})
 }
 
-func (r *run) note(id string, response *wire.CallResponse, latency time.Duration) {
+func (r *run) recordResponse(id string, response *wire.CallResponse, latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Attempts += int64(response.Attempts)
@@ -248,24 +248,24 @@
 	switch response.Outcome {
 	case wire.Outcome_OUTCOME_COMPLETED:
 		r.report.Completed++
-		_ = r.latency.RecordValue(min(us, maxRecorded))
+		_ = r.latency.RecordValue(min(us, maxLatencyMicros))
 		if response.RequestId != id || !bytes.Equal(response.Payload, server.ResponseBody(id, r.payload)) {
 			r.report.Wrong++
 		}
 		r.options.Journal.Add("completed", id, 0, 0)
 	case wire.Outcome_OUTCOME_NOT_RUN:
 		r.report.NotRun++
-		r.reason(response.Reason)
-		_ = r.notRun.RecordValue(min(us, maxRecorded))
+		r.countReason(response.Reason)
+		_ = r.notRun.RecordValue(min(us, maxLatencyMicros))
 		r.options.Journal.Add("not-run", id, 0, 0)
 	default:
 		r.report.Unknown++
-		r.reason(response.Reason)
+		r.countReason(response.Reason)
 		r.options.Journal.Add("unknown", id, 0, 0)
 	}
 }
 
-func (r *run) reason(text string) {
+func (r *run) countReason(text string) {
 	if r.report.Reasons == nil {
 		r.report.Reasons = map[string]int64{}
 	}
@@ -274,13 +274,13 @@
 	}
 }
 
-func (r *run) count(f func(*Report)) {
+func (r *run) update(f func(*Report)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.report)
 }
 
-func (r *run) result() *Report {
+func (r *run) summarize() *Report {
 	s := r.report
 	s.CompletedPerSecond = float64(s.Completed) / s.Seconds
 	s.P50Us, s.P90Us = r.latency.ValueAtQuantile(50), r.latency.ValueAtQuantile(90)
--- a/internal/model/front/balancer.go
+++ b/internal/model/front/balancer.go
@@ -27,7 +27,7 @@
 // ErrNoReadyEntry says that no entry is ready.
 var ErrNoReadyEntry = errors.New("no entry is ready")
 
-type target struct {
+type entry struct {
 	address string
 	conn    *grpc.ClientConn
 	ready   bool
@@ -36,7 +36,7 @@
 // Balancer gives connections to entries that say they are ready.
 type Balancer struct {
 	mu      sync.Mutex
-	targets []*target
+	entries []*entry
 	cancel  context.CancelFunc
 }
 
@@ -50,9 +50,9 @@
 			cancel()
 			return nil, err
 		}
-		t := &target{address: a, conn: conn}
-		b.targets = append(b.targets, t)
-		go b.check(ctx, t)
+		t := &entry{address: a, conn: conn}
+		b.entries = append(b.entries, t)
+		go b.checkHealth(ctx, t)
 	}
 	return b, nil
 }
@@ -69,10 +69,10 @@
 
 // check asks one entry again and again. After a check without answer it takes
 // a new connection, as a balancer does.
-func (b *Balancer) check(ctx context.Context, t *target) {
+func (b *Balancer) checkHealth(ctx context.Context, t *entry) {
 	for ctx.Err() == nil {
 		limited, cancel := context.WithTimeout(ctx, checkTimeout)
-		r, err := healthpb.NewHealthClient(b.connOf(t)).Check(limited, &healthpb.HealthCheckRequest{Service: link.ReadyService})
+		r, err := healthpb.NewHealthClient(b.connTo(t)).Check(limited, &healthpb.HealthCheckRequest{Service: link.ReadyService})
 		timedOut := limited.Err() != nil
 		cancel()
 		b.mu.Lock()
@@ -88,13 +88,13 @@
 	}
 }
 
-func (b *Balancer) connOf(t *target) *grpc.ClientConn {
+func (b *Balancer) connTo(t *entry) *grpc.ClientConn {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return t.conn
 }
 
-func (b *Balancer) redial(t *target) {
+func (b *Balancer) redial(t *entry) {
 	conn, err := dial(t.address)
 	if err != nil {
 		return
@@ -110,8 +110,8 @@
 func (b *Balancer) Pick() (*grpc.ClientConn, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var ready []*target
-	for _, t := range b.targets {
+	var ready []*entry
+	for _, t := range b.entries {
 		if t.ready {
 			ready = append(ready, t)
 		}
@@ -142,7 +142,7 @@
 	b.cancel()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, t := range b.targets {
+	for _, t := range b.entries {
 		t.conn.Close()
 	}
 }
--- a/internal/model/server/announce.go
+++ b/internal/model/server/announce.go
@@ -17,11 +17,11 @@
 const (
 	announceInterval = 500 * time.Millisecond
 	announceTimeout  = time.Second
-	// leavePoll is how soon leaving is announced.
-	leavePoll = 20 * time.Millisecond
+	// leavePollInterval is how soon leaving is announced.
+	leavePollInterval = 20 * time.Millisecond
 )
 
-var errSilent = errors.New("the entry doesn't answer")
+var errNoAnswer = errors.New("the entry doesn't answer")
 
 func (s *Server) announce(ctx context.Context) {
 	balancer, err := front.New(s.options.Entries)
@@ -36,7 +36,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(leavePoll):
+		case <-time.After(leavePollInterval):
 		}
 	}
 }
@@ -71,16 +71,16 @@
 				return err
 			}
 		case <-time.After(announceTimeout):
-			return errSilent
+			return errNoAnswer
 		}
-		s.pause(ctx, leaving)
+		s.waitNextAnnouncement(ctx, leaving)
 	}
 }
 
 // pause waits for the next announcement, which leaving makes due at once.
-func (s *Server) pause(ctx context.Context, leaving bool) {
+func (s *Server) waitNextAnnouncement(ctx context.Context, leaving bool) {
 	until := time.Now().Add(announceInterval)
 	for time.Now().Before(until) && ctx.Err() == nil && s.leaving.Load() == leaving {
-		time.Sleep(leavePoll)
+		time.Sleep(leavePollInterval)
 	}
 }
--- a/internal/model/server/server.go
+++ b/internal/model/server/server.go
@@ -57,16 +57,16 @@
 
 	// Server is one running backend server.
 	Server struct {
-		options  Options
-		began    time.Time
-		leaving  atomic.Bool
-		leftAt   atomic.Int64
-		inFlight atomic.Int64
-		open     atomic.Int64
-		stats    struct{ served, refused, hung, late, maxInFlight, maxOpen atomic.Int64 }
-		mu       sync.Mutex
-		random   *rand.Rand
-		http     *fasthttp.Server
+		options         Options
+		startedAt       time.Time
+		leaving         atomic.Bool
+		leavingSince    atomic.Int64
+		inFlight        atomic.Int64
+		openConnections atomic.Int64
+		stats           struct{ served, refused, hung, late, maxInFlight, maxOpen atomic.Int64 }
+		mu              sync.Mutex
+		random          *rand.Rand
+		http            *fasthttp.Server
 	}
 )
 
@@ -79,13 +79,13 @@
 	}
 }
 
-// lateAfter is how long after its leaving was announced a server may still be
+// leavingGrace is how long after its leaving was announced a server may still be
 // sent new work; "a few seconds" by the brief.
-const lateAfter = 3 * time.Second
+const leavingGrace = 3 * time.Second
 
 // Run serves until the context ends, leaves, and gives what it has seen.
 func Run(ctx context.Context, options Options, leaveTime time.Duration) (Stats, error) {
-	s := &Server{options: options, began: time.Now(), random: rand.New(rand.NewPCG(options.Seed, 1))}
+	s := &Server{options: options, startedAt: time.Now(), random: rand.New(rand.NewPCG(options.Seed, 1))}
 	listener, err := net.Listen("tcp", options.Listen)
 	if err != nil {
 		return Stats{}, err
@@ -99,7 +99,7 @@
 	defer cancel()
 	go s.announce(announcing)
 	<-ctx.Done()
-	s.leftAt.Store(time.Now().UnixNano())
+	s.leavingSince.Store(time.Now().UnixNano())
 	s.leaving.Store(true)
 	time.Sleep(leaveTime)
 	cancel()
@@ -119,14 +119,14 @@
 func (s *Server) countConnections(_ net.Conn, state fasthttp.ConnState) {
 	switch state {
 	case fasthttp.StateNew:
-		raise(&s.stats.maxOpen, s.open.Add(1))
+		storeMax(&s.stats.maxOpen, s.openConnections.Add(1))
 	case fasthttp.StateClosed, fasthttp.StateHijacked:
-		s.open.Add(-1)
+		s.openConnections.Add(-1)
 	default:
 	}
 }
 
-func raise(top *atomic.Int64, value int64) {
+func storeMax(top *atomic.Int64, value int64) {
 	for {
 		old := top.Load()
 		if value <= old || top.CompareAndSwap(old, value) {
@@ -140,35 +140,35 @@
 	c.Response.Header.Set(route.HeaderRequestID, id)
 	if s.leaving.Load() {
 		c.Response.Header.Set(route.HeaderLeaving, "1")
-		if time.Since(time.Unix(0, s.leftAt.Load())) > lateAfter {
+		if time.Since(time.Unix(0, s.leavingSince.Load())) > leavingGrace {
 			s.stats.late.Add(1)
 		}
 	}
 	inFlight := s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
-	raise(&s.stats.maxInFlight, inFlight)
-	if inFlight > int64(s.options.Announcement.Slots) || s.chance(s.options.Faults.Refuse) {
+	storeMax(&s.stats.maxInFlight, inFlight)
+	if inFlight > int64(s.options.Announcement.Slots) || s.draw(s.options.Faults.Refuse) {
 		s.stats.refused.Add(1)
 		c.Response.Header.Set(route.HeaderNotRun, "1")
 		c.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
-	s.work(c, id)
+	s.execute(c, id)
 }
 
-func (s *Server) work(c *fasthttp.RequestCtx, id string) {
+func (s *Server) execute(c *fasthttp.RequestCtx, id string) {
 	s.options.Journal.Add("run", id, 0, 0)
-	if s.chance(s.options.Faults.Hang) {
+	if s.draw(s.options.Faults.Hang) {
 		s.stats.hung.Add(1)
 		time.Sleep(time.Minute)
 	}
 	time.Sleep(s.serviceTime() + 2*s.options.Delay)
 	s.stats.served.Add(1)
 	body := ResponseBody(id, c.Request.Body())
-	if s.chance(s.options.Faults.Mismatch) {
+	if s.draw(s.options.Faults.Mismatch) {
 		c.Response.Header.Set(route.HeaderRequestID, id+"-other")
 	}
-	if s.chance(s.options.Faults.Short) {
+	if s.draw(s.options.Faults.Short) {
 		// Announces the whole length and breaks off in the middle.
 		c.SetBodyStream(io.LimitReader(bytes.NewReader(body), int64(len(body)/2)), len(body))
 		c.SetConnectionClose()
@@ -185,7 +185,7 @@
 	return append(answer, id...)
 }
 
-func (s *Server) chance(part float64) bool {
+func (s *Server) draw(part float64) bool {
 	if part <= 0 {
 		return false
 	}
@@ -206,7 +206,7 @@
 	if f.Slow > 0 {
 		t *= f.Slow
 	}
-	if f.NoisePeriod > 0 && time.Since(s.began)%f.NoisePeriod > f.NoisePeriod/2 {
+	if f.NoisePeriod > 0 && time.Since(s.startedAt)%f.NoisePeriod > f.NoisePeriod/2 {
 		t *= f.NoiseFactor
 	}
 	return time.Duration(t)
--- a/internal/model/shell/shell.go
+++ b/internal/model/shell/shell.go
@@ -59,7 +59,7 @@
 }
 
 // loopback refuses to bind to or load anything that isn't on this machine.
-func loopback(addresses ...string) error {
+func requireLoopback(addresses ...string) error {
 	for _, a := range addresses {
 		host, _, err := net.SplitHostPort(a)
 		if err != nil {
@@ -112,7 +112,7 @@
 	f.IntVar(&count, "count", 1, "backend servers to run in this process, on ports from that of --listen on")
 	f.DurationVar(&leave, "leave-time", 4*time.Second, "time between announcing to leave and stopping")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		if err := loopback(append([]string{o.Listen}, o.Entries...)...); err != nil {
+		if err := requireLoopback(append([]string{o.Listen}, o.Entries...)...); err != nil {
 			return err
 		}
 		var err error
@@ -199,7 +199,7 @@
 	f.IntVar(&count, "count", 1, "workers to run in this process, numbered behind the id")
 	f.StringVar(&journal, "journal", "", "file for what was run")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		if err := loopback(entries...); err != nil {
+		if err := requireLoopback(entries...); err != nil {
 			return err
 		}
 		if count < 1 || count > maxWorkers {
@@ -259,7 +259,7 @@
 		if o.Direct != "" {
 			targets = []string{o.Direct}
 		}
-		if err := loopback(targets...); err != nil {
+		if err := requireLoopback(targets...); err != nil {
 			return err
 		}
 		if o.Rate <= 0 || o.Rate > maxRate || o.Duration > maxDuration {
--- a/internal/model/worker/worker.go
+++ b/internal/model/worker/worker.go
@@ -24,13 +24,13 @@
 )
 
 const (
-	// answerTimeout is how long a report may go unanswered before the worker
+	// reportTimeout is how long a report may go unanswered before the worker
 	// attends at another entry.
-	answerTimeout = time.Second
-	reattendPause = 50 * time.Millisecond
-	// checkpointEvery is how many units lie between checkpoints.
-	checkpointEvery = 5
-	defaultUnits    = 10
+	reportTimeout  = time.Second
+	reconnectPause = 50 * time.Millisecond
+	// checkpointInterval is how many units lie between checkpoints.
+	checkpointInterval = 5
+	defaultUnits       = 10
 )
 
 type (
@@ -55,26 +55,26 @@
 	}
 
 	task struct {
-		order      *wire.TaskOrder
-		done       uint64
-		checkpoint uint64
-		stop       bool
-		throttled  bool
-		ended      *wire.TaskReport
+		order         *wire.TaskOrder
+		unitsDone     uint64
+		checkpoint    uint64
+		stopRequested bool
+		throttled     bool
+		finalReport   *wire.TaskReport
 	}
 
 	// Worker is one running worker.
 	Worker struct {
-		options Options
-		began   time.Time
+		options   Options
+		startedAt time.Time
 
-		mu       sync.Mutex
-		tasks    map[string]*task
-		sequence uint64
-		sent     map[uint64]time.Time
-		leaseEnd time.Time
-		term     uint64
-		answered time.Time
+		mu           sync.Mutex
+		tasks        map[string]*task
+		sequence     uint64
+		reportSentAt map[uint64]time.Time
+		leaseEnd     time.Time
+		term         uint64
+		lastAnswerAt time.Time
 	}
 )
 
@@ -82,24 +82,24 @@
 // as with a kill.
 func Run(ctx context.Context, options Options) error {
 	options.Worker.Incarnation = strconv.FormatUint(rand.Uint64(), 36)
-	w := &Worker{options: options, began: time.Now(), tasks: map[string]*task{}, sent: map[uint64]time.Time{}}
+	w := &Worker{options: options, startedAt: time.Now(), tasks: map[string]*task{}, reportSentAt: map[uint64]time.Time{}}
 	go w.watchLease(ctx)
 	for ctx.Err() == nil {
 		conn, err := options.Balancer.Wait(ctx)
 		if err != nil {
 			return nil
 		}
-		w.attend(ctx, conn)
+		w.stream(ctx, conn)
 		select {
 		case <-ctx.Done():
-		case <-time.After(reattendPause):
+		case <-time.After(reconnectPause):
 		}
 	}
 	return nil
 }
 
 // attend reports at one entry until it fails or goes silent.
-func (w *Worker) attend(ctx context.Context, conn *grpc.ClientConn) {
+func (w *Worker) stream(ctx context.Context, conn *grpc.ClientConn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stream, err := wire.NewWorkerServiceClient(conn).Attend(ctx)
@@ -113,16 +113,16 @@
 			if err != nil {
 				return
 			}
-			w.hear(answer)
+			w.handleResponse(answer)
 		}
 	}()
 	w.mu.Lock()
-	w.answered = time.Now()
+	w.lastAnswerAt = time.Now()
 	w.mu.Unlock()
 	ticker := time.NewTicker(w.options.ReportInterval)
 	defer ticker.Stop()
 	for {
-		if w.silent() || stream.Send(w.report()) != nil {
+		if w.entryUnresponsive() || stream.Send(w.report()) != nil {
 			return
 		}
 		select {
@@ -133,25 +133,25 @@
 	}
 }
 
-func (w *Worker) silent() bool {
+func (w *Worker) entryUnresponsive() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return time.Since(w.answered) > answerTimeout+w.options.ReportInterval
+	return time.Since(w.lastAnswerAt) > reportTimeout+w.options.ReportInterval
 }
 
 func (w *Worker) report() *wire.AttendRequest {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.sequence++
-	w.sent[w.sequence] = time.Now()
-	delete(w.sent, w.sequence-100)
+	w.reportSentAt[w.sequence] = time.Now()
+	delete(w.reportSentAt, w.sequence-100)
 	r := &wire.AttendRequest{
 		Worker: proto.Clone(w.options.Worker).(*wire.Worker), Sequence: w.sequence,
 		Usage: &wire.Usage{Age: durationpb.New(w.options.UsageLag), MilliProcessors: uint64(len(w.tasks)) * 500},
 	}
 	for id, t := range w.tasks {
-		if t.ended != nil {
-			r.Tasks = append(r.Tasks, t.ended)
+		if t.finalReport != nil {
+			r.Tasks = append(r.Tasks, t.finalReport)
 			continue
 		}
 		r.Tasks = append(r.Tasks, &wire.TaskReport{
@@ -163,39 +163,39 @@
 
 // hear takes an answer. The lease runs from when the answered report was sent, and with
 // it the answer's orders to start.
-func (w *Worker) hear(a *wire.AttendResponse) {
+func (w *Worker) handleResponse(a *wire.AttendResponse) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if a.Term < w.term {
 		return // a leader that has been replaced
 	}
 	w.term = a.Term
-	w.answered = time.Now()
+	w.lastAnswerAt = time.Now()
 	var validUntil time.Time
-	if sent, ok := w.sent[a.Sequence]; ok && a.Lease != nil {
+	if sent, ok := w.reportSentAt[a.Sequence]; ok && a.Lease != nil {
 		validUntil = sent.Add(a.Lease.AsDuration())
 	}
 	if validUntil.After(w.leaseEnd) {
 		w.leaseEnd = validUntil
 	}
 	for _, o := range a.Orders {
-		w.obey(o, validUntil)
+		w.execute(o, validUntil)
 	}
 }
 
-func (w *Worker) obey(o *wire.TaskOrder, validUntil time.Time) {
+func (w *Worker) execute(o *wire.TaskOrder, validUntil time.Time) {
 	t := w.tasks[o.JobId]
 	switch o.Kind {
 	case wire.OrderKind_ORDER_KIND_START:
 		if (t != nil && t.order.Attempt >= o.Attempt) || !time.Now().Before(validUntil) {
 			return
 		}
-		t = &task{order: o, done: o.Checkpoint, checkpoint: o.Checkpoint}
+		t = &task{order: o, unitsDone: o.Checkpoint, checkpoint: o.Checkpoint}
 		w.tasks[o.JobId] = t
 		go w.run(t)
 	case wire.OrderKind_ORDER_KIND_STOP:
 		if t != nil && t.order.Attempt == o.Attempt {
-			t.stop = true
+			t.stopRequested = true
 		}
 	case wire.OrderKind_ORDER_KIND_FORGET:
 		if t != nil && t.order.Attempt <= o.Attempt {
@@ -215,8 +215,8 @@
 		w.mu.Lock()
 		if !time.Now().Before(w.leaseEnd) {
 			for id, t := range w.tasks {
-				if t.ended == nil {
-					w.options.Journal.Add("dropped", id, t.order.Attempt, t.done)
+				if t.finalReport == nil {
+					w.options.Journal.Add("dropped", id, t.order.Attempt, t.unitsDone)
 					delete(w.tasks, id)
 				}
 			}
@@ -228,15 +228,15 @@
 
 // run works on a task unit by unit while the worker holds it and has a lease.
 func (w *Worker) run(t *task) {
-	w.options.Journal.Add("start", t.order.JobId, t.order.Attempt, t.done)
+	w.options.Journal.Add("start", t.order.JobId, t.order.Attempt, t.unitsDone)
 	units := w.units(t.order.Spec.GetPayload())
 	for {
-		end, held := w.next(t, units)
+		end, held := w.nextUnit(t, units)
 		if !held {
 			return
 		}
 		if end != nil {
-			w.end(t, end)
+			w.completeTask(t, end)
 			return
 		}
 		time.Sleep(w.unitTime(t))
@@ -245,7 +245,7 @@
 
 // next begins the next unit, or tells how the task ended. Held is false once
 // the worker may not go on.
-func (w *Worker) next(t *task, units uint64) (end *wire.TaskReport, held bool) {
+func (w *Worker) nextUnit(t *task, units uint64) (end *wire.TaskReport, held bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.tasks[t.order.JobId] != t || !time.Now().Before(w.leaseEnd) {
@@ -253,29 +253,29 @@
 	}
 	standing := t.order.Class == wire.JobClass_JOB_CLASS_STANDING
 	switch {
-	case t.stop:
-		t.checkpoint = t.done
+	case t.stopRequested:
+		t.checkpoint = t.unitsDone
 		return &wire.TaskReport{State: wire.TaskState_TASK_STATE_STOPPED}, true
 	case w.options.FailEverything:
 		return &wire.TaskReport{State: wire.TaskState_TASK_STATE_FAILED, Reason: "this worker fails everything"}, true
-	case t.done >= units && !standing:
-		return &wire.TaskReport{State: wire.TaskState_TASK_STATE_FINISHED, Result: fmt.Appendf(nil, "%d units", t.done)}, true
+	case t.unitsDone >= units && !standing:
+		return &wire.TaskReport{State: wire.TaskState_TASK_STATE_FINISHED, Result: fmt.Appendf(nil, "%d units", t.unitsDone)}, true
 	}
-	t.done++
-	w.options.Journal.Add("unit", t.order.JobId, t.order.Attempt, t.done)
-	if t.done%checkpointEvery == 0 {
-		t.checkpoint = t.done
+	t.unitsDone++
+	w.options.Journal.Add("unit", t.order.JobId, t.order.Attempt, t.unitsDone)
+	if t.unitsDone%checkpointInterval == 0 {
+		t.checkpoint = t.unitsDone
 	}
 	return nil, true
 }
 
-func (w *Worker) end(t *task, r *wire.TaskReport) {
+func (w *Worker) completeTask(t *task, r *wire.TaskReport) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r.JobId, r.Attempt, r.Checkpoint = t.order.JobId, t.order.Attempt, t.checkpoint
-	t.ended = r
+	t.finalReport = r
 	kind := strings.ToLower(strings.TrimPrefix(r.State.String(), "TASK_STATE_"))
-	w.options.Journal.Add(kind, r.JobId, r.Attempt, t.done)
+	w.options.Journal.Add(kind, r.JobId, r.Attempt, t.unitsDone)
 }
 
 // units reads "units=N" from a payload.
@@ -294,7 +294,7 @@
 
 func (w *Worker) unitTime(t *task) time.Duration {
 	d := float64(w.options.UnitTime)
-	if p := w.options.NoisePeriod; p > 0 && time.Since(w.began)%p > p/2 {
+	if p := w.options.NoisePeriod; p > 0 && time.Since(w.startedAt)%p > p/2 {
 		d *= w.options.NoiseFactor
 	}
 	w.mu.Lock()
--- a/sycamoredeck.go
+++ b/sycamoredeck.go
@@ -1,13 +1,10 @@
-// This file defines the coordination parts that others may embed.
-
-// Package sycamoredeck offers the coordination parts that the scheduler is
-// made of to programs that embed them: leases, a division of slots without
-// messages, a weighted fair queue, and a budget for retries. Each is plain
-// data with rules: it starts no goroutine, opens no connection, and is given
-// the time by its caller.
+// Package sycamoredeck exports coordination components of the scheduler for use in
+// other programs: leases, a division of slots without communication, a weighted fair
+// queue and a retry budget. They start no goroutines, open no connections and get the
+// current time from their callers.
 //
-// The replicated log is not offered yet, since its records are still bound to
-// the scheduler's schema.
+// The replicated log is not exported, since its records depend on the scheduler's
+// schema.
 package sycamoredeck
 
 import (
@@ -20,28 +17,28 @@
 )
 
 type (
-	// LeaseTable is a leader's memory of the leases it granted. It is made by
-	// NewLeaseTable and isn't safe for concurrent use.
+	// LeaseTable records the leases that a leader has granted. It is created by
+	// NewLeaseTable and not safe for concurrent use.
 	LeaseTable = lease.Table
 
-	// SlotDivider gives each of several entries its part of a server's slots.
-	// It is immutable; the zero value owns nothing.
+	// SlotDivider assigns each of several entries its share of a server's slots. It is
+	// immutable. The zero value assigns none.
 	SlotDivider = slots.Divider
 
-	// FairQueue shares among accounts by weight. The zero value is empty; it
-	// isn't safe for concurrent use.
+	// FairQueue divides capacity among accounts by weight. The zero value is empty. It
+	// is not safe for concurrent use.
 	FairQueue[T any] = admit.Queue[T]
 
-	// Waiter is one call in a FairQueue.
+	// Waiter is a call that waits in a FairQueue.
 	Waiter[T any] = admit.Waiter[T]
 
-	// RetryBudget lets retries be a part of first attempts. It may be used by
-	// many goroutines.
+	// RetryBudget limits retries to a share of first attempts. It is safe for
+	// concurrent use.
 	RetryBudget = retry.Budget
 )
 
-// NewLeaseTable returns the table of a leader that leads since the given time.
-// Overlap is how long after that an earlier leader could still grant leases.
+// NewLeaseTable returns the table of a leader that was elected at the given time. Overlap
+// is how long after that the previous leader may still grant leases.
 func NewLeaseTable(since time.Time, duration, overlap time.Duration) *LeaseTable {
 	return lease.NewTable(since, duration, overlap)
 }
