--- a/internal/itest/cluster_test.go
+++ b/internal/itest/cluster_test.go
@@ -1,7 +1,5 @@
-// This file defines the cluster of real processes that the tests run.
-
-// Package itest proves the system's promises with real processes behind a
-// fault-injecting proxy. It has tests only.
+// Package itest contains integration tests that run real processes behind a
+// fault-injecting proxy.
 package itest
 
 import (
@@ -30,16 +28,16 @@
 )
 
 const (
-	// patience bounds every wait; it is wide, since the machine may be busy.
-	patience = 60 * time.Second
-	pollTime = 20 * time.Millisecond
-	// lease is short, so that losses are seen soon.
-	lease = 1500 * time.Millisecond
+	// waitTimeout limits each wait. It is long, since the machine may be under load.
+	waitTimeout  = 60 * time.Second
+	pollInterval = 20 * time.Millisecond
+	// workerLease is short, so that tests wait less for its expiry.
+	workerLease = 1500 * time.Millisecond
 )
 
 var binaries string
 
-// TestMain builds the programs once.
+// TestMain builds the programs once for all tests.
 func TestMain(m *testing.M) {
 	folder, err := os.MkdirTemp("", "itest")
 	if err != nil {
@@ -68,25 +66,25 @@
 	cluster struct {
 		t                 *testing.T
 		folder            string
-		mesh              *mesh
+		mesh              *proxyMesh
 		mu                sync.Mutex
 		processes         map[string]*process
 		controls, entries []string
-		address           map[string]string // as others reach it
-		own               map[string]string // as it listens
+		advertisedAddress map[string]string // by process name
+		listenAddress     map[string]string // by process name
 		journals          []string
 		conns             map[string]*grpc.ClientConn
 	}
 )
 
-// newCluster starts replicas and entries, with flags that both get, and waits
-// until they serve.
+// newCluster starts control and entry processes with the given additional flags, and
+// waits until all entries are known to each other.
 func newCluster(t *testing.T, controls, entries int, flags ...string) *cluster {
 	t.Helper()
 	t.Parallel()
 	c := &cluster{
-		t: t, folder: t.TempDir(), mesh: newMesh(), processes: map[string]*process{},
-		address: map[string]string{}, own: map[string]string{}, conns: map[string]*grpc.ClientConn{},
+		t: t, folder: t.TempDir(), mesh: newProxyMesh(), processes: map[string]*process{},
+		advertisedAddress: map[string]string{}, listenAddress: map[string]string{}, conns: map[string]*grpc.ClientConn{},
 	}
 	t.Cleanup(c.stop)
 	for i := range controls {
@@ -102,24 +100,24 @@
 		c.start(name, append(c.entryCommand(name), flags...))
 	}
 	for _, e := range c.entries {
-		c.until(e+" serves", func() bool { return len(c.statusAt(e).GetEntries()) == entries })
+		c.waitFor(e+" serves", func() bool { return len(c.statusAt(e).GetEntries()) == entries })
 	}
 	return c
 }
 
-// reserve gives a process its address and its place in the mesh.
+// reserve assigns the addresses of a process and starts its proxy.
 func (c *cluster) reserve(name string) string {
-	c.own[name] = freeAddress(c.t)
-	c.address[name] = c.mesh.listen(c.t, name, c.own[name])
+	c.listenAddress[name] = freeAddress(c.t)
+	c.advertisedAddress[name] = c.mesh.listen(c.t, name, c.listenAddress[name])
 	return name
 }
 
-// nextPort counts up below the range that the kernel draws ports from, so that
-// no test is given a port that another has reserved and not yet bound.
+// nextPort counts up below the ephemeral port range, so that no port is assigned twice
+// between its reservation and its use.
 var nextPort atomic.Int32
 
-// processIP is a loopback IP number of this test process alone: another one that runs at
-// the same time counts its ports up in the same way.
+// processIP is a loopback address that only this test process uses, since others count
+// their ports in the same way.
 var processIP = fmt.Sprintf("127.%d.%d.2", 64+os.Getpid()/250%64, 1+os.Getpid()%250)
 
 func freeAddress(t *testing.T) string {
@@ -135,10 +133,10 @@
 	return ""
 }
 
-func (c *cluster) addresses(names []string) string {
+func (c *cluster) advertisedAddresses(names []string) string {
 	var list []string
 	for _, n := range names {
-		list = append(list, c.address[n])
+		list = append(list, c.advertisedAddress[n])
 	}
 	return strings.Join(list, ",")
 }
@@ -146,22 +144,22 @@
 func (c *cluster) controlCommand(name string) []string {
 	var members []string
 	for _, n := range c.controls {
-		members = append(members, n+"="+c.address[n])
+		members = append(members, n+"="+c.advertisedAddress[n])
 	}
 	return []string{
 		"sycamoredeck", "control", "--instance-id", name, "--failure-domain", "fd-" + name,
-		"--listen-address", c.own[name], "--advertise-address", c.address[name],
+		"--listen-address", c.listenAddress[name], "--advertise-address", c.advertisedAddress[name],
 		"--data-folder", filepath.Join(c.folder, name), "--founding-members", strings.Join(members, ","),
-		"--heartbeat-interval", "50ms", "--election-timeout", "400ms", "--worker-lease", lease.String(),
-		"--snapshot-records", "200", "--drain-timeout", "10s", "--source-address", c.mesh.source(name),
+		"--heartbeat-interval", "50ms", "--election-timeout", "400ms", "--worker-lease", workerLease.String(),
+		"--snapshot-records", "200", "--drain-timeout", "10s", "--source-address", c.mesh.sourceIP(name),
 	}
 }
 
 func (c *cluster) entryCommand(name string) []string {
 	return []string{
 		"sycamoredeck", "entry", "--instance-id", name, "--failure-domain", "fd-" + name,
-		"--listen-address", c.own[name], "--advertise-address", c.address[name], "--source-address", c.mesh.source(name),
-		"--control-addresses", c.addresses(c.controls), "--drain-delay", "500ms",
+		"--listen-address", c.listenAddress[name], "--advertise-address", c.advertisedAddress[name], "--source-address", c.mesh.sourceIP(name),
+		"--control-addresses", c.advertisedAddresses(c.controls), "--drain-delay", "500ms",
 	}
 }
 
@@ -169,15 +167,15 @@
 func (c *cluster) server(name string, flags ...string) {
 	c.reserve(name)
 	c.start(name, append([]string{
-		"standin", "server", "--id", name, "--service", "svc", "--listen", c.own[name], "--advertise", c.address[name],
-		"--entries", c.addresses(c.entries), "--service-time", "2ms", "--journal", c.journal(name),
+		"standin", "server", "--id", name, "--service", "svc", "--listen", c.listenAddress[name], "--advertise", c.advertisedAddress[name],
+		"--entries", c.advertisedAddresses(c.entries), "--service-time", "2ms", "--journal", c.journal(name),
 	}, flags...))
 }
 
-// worker starts a worker with room for four tasks of kind "batch".
+// worker starts a worker with capacity for four tasks of kind "batch".
 func (c *cluster) worker(name string, flags ...string) {
 	c.start(name, append([]string{
-		"standin", "worker", "--id", name, "--entries", c.addresses(c.entries), "--milli-processors", "4000",
+		"standin", "worker", "--id", name, "--entries", c.advertisedAddresses(c.entries), "--milli-processors", "4000",
 		"--memory-bytes", "4000000", "--report-interval", "200ms", "--unit-time", "20ms", "--journal", c.journal(name),
 	}, flags...))
 }
@@ -193,7 +191,7 @@
 	return path
 }
 
-// start runs a command of ours, again if it ran before.
+// start starts a command, whose logs are appended if it ran before.
 func (c *cluster) start(name string, command []string) *process {
 	p := &process{name: name, command: command, out: filepath.Join(c.folder, name+".out"), exited: make(chan struct{})}
 	p.cmd = exec.Command(filepath.Join(binaries, command[0]), command[1:]...)
@@ -203,8 +201,7 @@
 	assert.NilError(c.t, err)
 	p.cmd.Stdout, p.cmd.Stderr = out, log
 	p.cmd.Env = []string{"HOME=" + c.folder}
-	// A test run that is killed must not leave processes behind, which would
-	// go on loading the machine for the next one.
+	// Child processes must not outlive a killed test run.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	assert.NilError(c.t, p.cmd.Start())
 	c.mu.Lock()
@@ -230,7 +227,7 @@
 	assert.NilError(c.t, c.process(name).cmd.Process.Signal(s), name)
 }
 
-// kill ends a process with no chance to say anything.
+// kill terminates a process with SIGKILL.
 func (c *cluster) kill(name string) {
 	c.t.Helper()
 	c.signal(name, syscall.SIGKILL)
@@ -241,8 +238,8 @@
 	c.t.Helper()
 	select {
 	case <-c.process(name).exited:
-	case <-time.After(patience):
-		c.t.Fatalf("%s doesn't end", name)
+	case <-time.After(waitTimeout):
+		c.t.Fatalf("%s does not exit", name)
 	}
 }
 
@@ -271,25 +268,25 @@
 	}
 }
 
-// until waits for a condition.
-func (c *cluster) until(what string, holds func() bool) {
+// waitFor waits until a condition holds.
+func (c *cluster) waitFor(what string, holds func() bool) {
 	c.t.Helper()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	for !holds() {
 		if time.Now().After(end) {
-			c.t.Fatalf("gave up waiting until %s", what)
+			c.t.Fatalf("timed out waiting until %s", what)
 		}
-		time.Sleep(pollTime)
+		time.Sleep(pollInterval)
 	}
 }
 
-// at connects to an entry, past the mesh.
-func (c *cluster) at(entry string) *grpc.ClientConn {
+// connTo returns a direct connection to an entry, which bypasses the proxy.
+func (c *cluster) connTo(entry string) *grpc.ClientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conns[entry] == nil {
-		conn, err := grpc.NewClient("passthrough:///"+c.own[entry], grpc.WithTransportCredentials(insecure.NewCredentials()),
-			grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: pollTime, MaxDelay: 10 * pollTime}, MinConnectTimeout: time.Second}))
+		conn, err := grpc.NewClient("passthrough:///"+c.listenAddress[entry], grpc.WithTransportCredentials(insecure.NewCredentials()),
+			grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: pollInterval, MaxDelay: 10 * pollInterval}, MinConnectTimeout: time.Second}))
 		assert.NilError(c.t, err)
 		c.conns[entry] = conn
 	}
@@ -300,7 +297,7 @@
 	return context.WithTimeout(context.Background(), 20*time.Second)
 }
 
-// status asks any entry that answers; nil when none does.
+// status returns the status from the first entry that answers, or nil.
 func (c *cluster) status() *wire.GetStatusResponse {
 	for _, e := range c.entries {
 		if s := c.statusAt(e); s != nil {
@@ -313,7 +310,7 @@
 func (c *cluster) statusAt(entry string) *wire.GetStatusResponse {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	s, err := wire.NewOperatorServiceClient(c.at(entry)).GetStatus(ctx, &wire.GetStatusRequest{})
+	s, err := wire.NewOperatorServiceClient(c.connTo(entry)).GetStatus(ctx, &wire.GetStatusRequest{})
 	if err != nil {
 		return nil
 	}
@@ -323,7 +320,7 @@
 func (c *cluster) leader() string {
 	c.t.Helper()
 	var leader string
-	c.until("there is a leader", func() bool {
+	c.waitFor("there is a leader", func() bool {
 		leader = c.status().GetLeader()
 		return leader != ""
 	})
@@ -346,7 +343,7 @@
 func (c *cluster) apply(entry, operation string, expected uint64, share float64) (*wire.ApplyConfigurationResponse, error) {
 	ctx, cancel := c.context()
 	defer cancel()
-	return wire.NewOperatorServiceClient(c.at(entry)).ApplyConfiguration(ctx, &wire.ApplyConfigurationRequest{
+	return wire.NewOperatorServiceClient(c.connTo(entry)).ApplyConfiguration(ctx, &wire.ApplyConfigurationRequest{
 		OperationId: operation, ExpectedVersion: expected, Configuration: testConfiguration(share),
 	})
 }
@@ -357,7 +354,7 @@
 	r, err := c.apply(c.entries[0], "first", 0, 1)
 	assert.NilError(c.t, err)
 	assert.Equal(c.t, r.Outcome, wire.ApplyOutcome_APPLY_OUTCOME_APPLIED)
-	c.until("the configuration is in force", func() bool {
+	c.waitFor("the configuration is in force", func() bool {
 		for _, e := range c.status().GetEntries() {
 			if e.ConfigurationVersion < 1 {
 				return false
@@ -367,12 +364,12 @@
 	})
 }
 
-func (c *cluster) untilWorkers(count int) {
+func (c *cluster) waitWorkers(count int) {
 	c.t.Helper()
-	c.until("the workers attend", func() bool {
+	c.waitFor("the workers are connected", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
-		r, err := wire.NewOperatorServiceClient(c.at(c.entries[0])).ListWorkers(ctx, &wire.ListWorkersRequest{})
+		r, err := wire.NewOperatorServiceClient(c.connTo(c.entries[0])).ListWorkers(ctx, &wire.ListWorkersRequest{})
 		attending := 0
 		for _, w := range r.GetWorkers() {
 			if w.Attending {
@@ -383,10 +380,10 @@
 	})
 }
 
-// untilUsable waits until every entry uses that many backend servers.
-func (c *cluster) untilUsable(count int) {
+// waitUsable waits until each entry has the given number of usable backend servers.
+func (c *cluster) waitUsable(count int) {
 	c.t.Helper()
-	c.until("the backend servers are known", func() bool {
+	c.waitFor("the backend servers are known", func() bool {
 		for _, e := range c.entries {
 			if c.usable(e) != count {
 				return false
@@ -399,7 +396,7 @@
 func (c *cluster) usable(entry string) int {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	r, err := wire.NewOperatorServiceClient(c.at(entry)).ListBackendServers(ctx, &wire.ListBackendServersRequest{})
+	r, err := wire.NewOperatorServiceClient(c.connTo(entry)).ListBackendServers(ctx, &wire.ListBackendServersRequest{})
 	if err != nil {
 		return -1
 	}
@@ -416,18 +413,18 @@
 	return c.send(entry, &wire.CallRequest{RequestId: id, Idempotent: idempotent})
 }
 
-// send fills in what all calls have and sends one.
+// send sets the common fields of a call and sends it.
 func (c *cluster) send(entry string, r *wire.CallRequest) (*wire.CallResponse, error) {
 	ctx, cancel := c.context()
 	defer cancel()
 	r.ClientAccount, r.Service, r.Payload = "acct", "svc", []byte("p")
-	return wire.NewCallerServiceClient(c.at(entry)).Call(ctx, r)
+	return wire.NewCallerServiceClient(c.connTo(entry)).Call(ctx, r)
 }
 
-// load starts a caller process; its report is read once it has ended.
-func (c *cluster) load(name string, flags ...string) func() *caller.Report {
+// startLoad starts a caller process. The returned function waits for its report.
+func (c *cluster) startLoad(name string, flags ...string) func() *caller.Report {
 	p := c.start(name, append([]string{
-		"standin", "caller", "--entries", c.addresses(c.entries), "--client-account", "acct", "--service", "svc",
+		"standin", "caller", "--entries", c.advertisedAddresses(c.entries), "--client-account", "acct", "--service", "svc",
 		"--prefix", name, "--journal", c.journal(name),
 	}, flags...))
 	return func() *caller.Report {
@@ -441,8 +438,8 @@
 	}
 }
 
-// assertPromises reads what workers, servers and callers wrote down.
-func (c *cluster) assertPromises() *audit.Findings {
+// assertNoViolations checks the journals of all workers, servers and callers.
+func (c *cluster) assertNoViolations() *audit.Findings {
 	c.t.Helper()
 	var present []string
 	for _, j := range c.journals {
--- a/internal/itest/config_test.go
+++ b/internal/itest/config_test.go
@@ -1,4 +1,4 @@
-// This file defines the proofs about configuration and the replicated log.
+// This file tests configuration changes and the replicated log.
 
 package itest
 
@@ -17,8 +17,8 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// watchVersions follows the version in force at every entry until the
-// returned function is called, which asserts that none ever went back.
+// watchVersions polls the version in force at each entry until the returned function is
+// called, which asserts that no version ever decreased.
 func (c *cluster) watchVersions() func() {
 	seen := map[string]uint64{}
 	var reverted []string
@@ -29,7 +29,7 @@
 			select {
 			case <-quit:
 				return
-			case <-time.After(pollTime):
+			case <-time.After(pollInterval):
 			}
 			for _, e := range c.status().GetEntries() {
 				if e.ConfigurationVersion < seen[e.EntryId] {
@@ -46,11 +46,10 @@
 	}
 }
 
-// applyNext applies one more version, resending as an operator does whose
-// answers are lost.
+// applyNext applies the next version and retries until it is acknowledged.
 func (c *cluster) applyNext(entry string, version uint64) {
 	c.t.Helper()
-	c.until(fmt.Sprintf("version %d is accepted", version), func() bool {
+	c.waitFor(fmt.Sprintf("version %d is accepted", version), func() bool {
 		r, err := c.apply(entry, fmt.Sprintf("op-%d", version), version-1, float64(version))
 		if err != nil {
 			return false
@@ -61,11 +60,9 @@
 	})
 }
 
-// Symptom: an operator's accepted change is gone, or an entry goes back to an
-// older one. Sequence: changes are applied while the leader is killed, cut off
-// from all others, and comes back with what it believed. Cause, where it
-// fails: an answer before a quorum had synced, or an entry that takes its
-// configuration from a replica that lags.
+// Guards against losing an accepted change, or reverting an entry to an older one, when the
+// leader is killed or isolated: changes must be synced by a quorum before they are
+// acknowledged, and entries must not take a configuration from a replica that lags behind.
 func TestConfigurationNeverReverts(t *testing.T) {
 	c := newCluster(t, 3, 2)
 	c.configure()
@@ -89,7 +86,7 @@
 	c.mesh.heal()
 	next(5)
 	stopWatching()
-	c.until("the last version is in force everywhere", func() bool {
+	c.waitFor("the last version is in force everywhere", func() bool {
 		entries := c.status().GetEntries()
 		for _, e := range entries {
 			if e.ConfigurationVersion != version {
@@ -100,24 +97,24 @@
 	})
 }
 
-// Symptom: an entry that starts while the leader is cut off serves an old
-// configuration. Its first one must be confirmed by a quorum.
-func TestNewEntryStartsFromTheLatest(t *testing.T) {
+// Guards against an entry that starts with an outdated configuration from an isolated
+// leader: the first one must be confirmed by a quorum.
+func TestNewEntryLoadsLatestConfiguration(t *testing.T) {
 	c := newCluster(t, 3, 2)
 	c.configure()
 	stale := c.leader()
 	c.kill("entry-1")
 	c.mesh.isolate(stale, "control-0", "control-1", "control-2", "entry-0")
-	t.Run("an unconfirmed leader gives none", func(t *testing.T) {
+	t.Run("an unconfirmed leader returns none", func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		_, err := wire.NewControlServiceClient(c.at(stale)).FetchConfiguration(ctx, &wire.FetchConfigurationRequest{QuorumConfirmed: true})
+		_, err := wire.NewControlServiceClient(c.connTo(stale)).FetchConfiguration(ctx, &wire.FetchConfigurationRequest{QuorumConfirmed: true})
 		assert.Assert(t, err != nil)
 	})
 	c.applyNext("entry-0", 2)
-	// The new entry reaches the old leader, which believes that it leads.
+	// The new entry reaches the isolated leader, which still considers itself leader.
 	c.restart("entry-1")
-	c.until("the new entry has a configuration", func() bool {
+	c.waitFor("the new entry has a configuration", func() bool {
 		r, err := c.call("entry-1", "probe", true)
 		return err == nil && r.Outcome == wire.Outcome_OUTCOME_NOT_RUN
 	})
@@ -127,9 +124,8 @@
 	c.mesh.heal()
 }
 
-// Symptom: two operators apply different contents with the same expected
-// version and both are told that it was accepted.
-func TestOperatorsRace(t *testing.T) {
+// Guards against accepting two different contents for the same expected version.
+func TestConcurrentConfigurationChanges(t *testing.T) {
 	c := newCluster(t, 3, 2)
 	c.configure()
 	for version := uint64(1); version <= 10; version++ {
@@ -148,15 +144,14 @@
 			assert.Equal(t, r.Current.Version, version+1)
 			winners[r.Current.OperationId] = true
 			own := r.Current.OperationId == fmt.Sprintf("race-%d-%d", version, i/2)
-			assert.Equal(t, r.Outcome == wire.ApplyOutcome_APPLY_OUTCOME_APPLIED, own, "operator %d is told wrongly", i)
+			assert.Equal(t, r.Outcome == wire.ApplyOutcome_APPLY_OUTCOME_APPLIED, own, "wrong outcome for operator %d", i)
 		}
 		assert.Equal(t, len(winners), 1, "more than one winner: %v", winners)
 	}
 }
 
-// Symptom: after a power loss of all control instances the system starts with
-// an older state. Hundreds of changes, more than a snapshot apart, must be
-// there after all were killed at once.
+// Guards against an outdated state after all control processes were killed at once, with
+// more changes than fit between two snapshots.
 func TestRestartAfterHundredsOfChanges(t *testing.T) {
 	c := newCluster(t, 3, 1)
 	c.configure()
@@ -180,14 +175,13 @@
 func (c *cluster) members() (*wire.ListControlMembersResponse, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	return wire.NewOperatorServiceClient(c.at(c.entries[0])).ListControlMembers(ctx, &wire.ListControlMembersRequest{})
+	return wire.NewOperatorServiceClient(c.connTo(c.entries[0])).ListControlMembers(ctx, &wire.ListControlMembersRequest{})
 }
 
-// Symptom: committed changes are gone after a repair. Sequence: an instance
-// loses its disk and starts again under its name; a second one is lost right
-// after the repair. Cause, where it fails: the empty replica votes as if it
-// held what the old one had promised.
-func TestLostDiskThenSecondLoss(t *testing.T) {
+// Guards against losing committed changes when a replica loses its disk, is replaced under
+// the same name, and a second replica is lost: the empty replica must not vote under the
+// old identity.
+func TestReplicaLossAfterDiskReplacement(t *testing.T) {
 	c := newCluster(t, 3, 1)
 	c.configure()
 	for version := uint64(2); version <= 250; version++ {
@@ -199,13 +193,13 @@
 	c.kill(lost.Name)
 	assert.NilError(t, os.RemoveAll(filepath.Join(c.folder, lost.Name)))
 	c.restart(lost.Name)
-	c.until("the empty replica waits to be let in", func() bool {
+	c.waitFor("the empty replica waits for admission", func() bool {
 		r, err := c.members()
 		return err == nil && len(r.Waiting) == 1 && r.Waiting[0].Name == lost.Name
 	})
 	ctx, cancel := c.context()
 	defer cancel()
-	changed, err := wire.NewOperatorServiceClient(c.at("entry-0")).ChangeControlMember(ctx, &wire.ChangeControlMemberRequest{
+	changed, err := wire.NewOperatorServiceClient(c.connTo("entry-0")).ChangeControlMember(ctx, &wire.ChangeControlMemberRequest{
 		AddName: lost.Name, RemoveReplicaId: lost.ReplicaId,
 	})
 	assert.NilError(t, err)
@@ -218,8 +212,7 @@
 	assert.Equal(t, c.status().ConfigurationVersion, uint64(251))
 }
 
-// Symptom: an invalid configuration changes something, or is refused without
-// a word of where it is wrong.
+// Checks that an invalid configuration is refused with the path of the invalid field.
 func TestInvalidConfigurationIsRefused(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	c.configure()
@@ -227,7 +220,7 @@
 	bad.JobKinds[1].ClientAccount = "nobody"
 	ctx, cancel := c.context()
 	defer cancel()
-	_, err := wire.NewOperatorServiceClient(c.at("entry-0")).ApplyConfiguration(ctx, &wire.ApplyConfigurationRequest{
+	_, err := wire.NewOperatorServiceClient(c.connTo("entry-0")).ApplyConfiguration(ctx, &wire.ApplyConfigurationRequest{
 		OperationId: "bad", ExpectedVersion: 1, Configuration: bad,
 	})
 	assert.ErrorContains(t, err, `JobKinds[1].ClientAccount: "nobody" isn't among ClientAccounts`)
--- a/internal/itest/drain_test.go
+++ b/internal/itest/drain_test.go
@@ -1,4 +1,4 @@
-// This file defines the proofs about drained failure domains.
+// This file tests the draining of failure domains.
 
 package itest
 
@@ -15,13 +15,13 @@
 	c.t.Helper()
 	ctx, cancel := c.context()
 	defer cancel()
-	r, err := wire.NewWorkServiceClient(c.at(entry)).DrainDomain(ctx, &wire.DrainDomainRequest{FailureDomain: domain, Restore: restore})
+	r, err := wire.NewWorkServiceClient(c.connTo(entry)).DrainDomain(ctx, &wire.DrainDomainRequest{FailureDomain: domain, Restore: restore})
 	assert.NilError(c.t, err)
 	return r
 }
 
-// Guards against calls and tasks that go into a drained failure domain, before and after
-// the control leader is killed and all control processes start anew.
+// Guards against calls and tasks in a drained failure domain, also after the leader was
+// killed and after all control processes were restarted.
 func TestDrainedDomainGetsNoNewWork(t *testing.T) {
 	c := newCluster(t, 3, 2)
 	c.configure()
@@ -29,35 +29,35 @@
 		c.server("server-"+domain, "--failure-domain", domain, "--slots", "32")
 		c.worker("worker-"+domain, "--failure-domain", domain)
 	}
-	c.untilUsable(2)
-	c.untilWorkers(2)
+	c.waitUsable(2)
+	c.waitWorkers(2)
 	assert.Equal(t, c.drain("entry-0", "east", false).Answer, wire.WorkAnswer_WORK_ANSWER_DONE)
-	c.untilUsable(1)
+	c.waitUsable(1)
 	assertOnlyWest := func(name string) {
 		t.Helper()
 		for i := range 4 {
-			c.until("a call is answered", func() bool {
+			c.waitFor("a call is answered", func() bool {
 				r, err := c.call(c.entries[i%2], fmt.Sprint(name, i), true)
 				return err == nil && r.Outcome == wire.Outcome_OUTCOME_COMPLETED && r.BackendServerId == "server-west"
 			})
-			id := c.submitAgain(c.entries[i%2], fmt.Sprint(name, "-job-", i), "batch", "units=1")
-			assert.Equal(t, c.untilState(id, wire.JobState_JOB_STATE_FINISHED).WorkerId, "worker-west")
+			id := c.submitWithRetries(c.entries[i%2], fmt.Sprint(name, "-job-", i), "batch", "units=1")
+			assert.Equal(t, c.waitJobState(id, wire.JobState_JOB_STATE_FINISHED).WorkerId, "worker-west")
 		}
 	}
 	assertOnlyWest("drained")
 	c.kill(c.leader())
 	assertOnlyWest("next-leader")
 	for _, name := range c.controls {
-		_ = c.process(name).cmd.Process.Kill() // one has ended before
+		_ = c.process(name).cmd.Process.Kill() // the former leader has already exited
 		c.wait(name)
 	}
 	for _, name := range c.controls {
 		c.restart(name)
 	}
 	c.leader()
-	assertOnlyWest("all-started-anew")
+	assertOnlyWest("all-restarted")
 	assert.DeepEqual(t, c.status().DrainedDomains, []string{"east"})
 	c.drain("entry-1", "east", true)
-	c.untilUsable(2)
-	c.assertPromises()
+	c.waitUsable(2)
+	c.assertNoViolations()
 }
--- a/internal/itest/input_test.go
+++ b/internal/itest/input_test.go
@@ -1,4 +1,4 @@
-// This file defines the tests of bad input and of the command line.
+// This file tests invalid requests, exit codes and tracing.
 
 package itest
 
@@ -21,12 +21,12 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// Each row is a request that is wrong in one field, which the answer names.
+// Checks that requests with one invalid field are refused with its name.
 func TestMalformedRequests(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	c.configure()
-	caller := wire.NewCallerServiceClient(c.at("entry-0"))
-	jobs := wire.NewJobServiceClient(c.at("entry-0"))
+	caller := wire.NewCallerServiceClient(c.connTo("entry-0"))
+	jobs := wire.NewJobServiceClient(c.connTo("entry-0"))
 	call := func(change func(*wire.CallRequest)) func(context.Context) error {
 		r := &wire.CallRequest{RequestId: "r", ClientAccount: "acct", Service: "svc"}
 		change(r)
@@ -67,22 +67,22 @@
 	}
 }
 
-// A garbled announcement or an impossible report is refused and harms nobody.
-func TestGarbledNews(t *testing.T) {
+// Checks that invalid announcements and reports are refused and have no effect on others.
+func TestInvalidReportsAreRefused(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	c.configure()
 	c.server("server-0")
 	c.worker("worker-0")
-	c.untilUsable(1)
-	c.untilWorkers(1)
+	c.waitUsable(1)
+	c.waitWorkers(1)
 	ctx, cancel := c.context()
 	defer cancel()
-	announce, err := wire.NewAnnounceServiceClient(c.at("entry-0")).Announce(ctx)
+	announce, err := wire.NewAnnounceServiceClient(c.connTo("entry-0")).Announce(ctx)
 	assert.NilError(t, err)
 	assert.NilError(t, announce.Send(&wire.AnnounceRequest{Announcement: &wire.Announcement{BackendServerId: "server-0", Slots: 1 << 31}}))
 	_, err = announce.Recv()
 	assert.Equal(t, status.Code(err), codes.InvalidArgument)
-	attend, err := wire.NewWorkerServiceClient(c.at("entry-0")).Attend(ctx)
+	attend, err := wire.NewWorkerServiceClient(c.connTo("entry-0")).Attend(ctx)
 	assert.NilError(t, err)
 	assert.NilError(t, attend.Send(&wire.AttendRequest{Sequence: 1, Worker: &wire.Worker{
 		WorkerId: "worker-0", Incarnation: "x", Capacity: &wire.Resources{MilliProcessors: 1 << 62, MemoryBytes: 1},
@@ -92,15 +92,15 @@
 	r, err := c.call("entry-0", "r", true)
 	assert.NilError(t, err)
 	assert.Equal(t, r.Outcome, wire.Outcome_OUTCOME_COMPLETED)
-	c.untilState(c.submit("entry-0", "k", "batch", "units=1", false), wire.JobState_JOB_STATE_FINISHED)
+	c.waitJobState(c.submit("entry-0", "k", "batch", "units=1", false), wire.JobState_JOB_STATE_FINISHED)
 }
 
-// The exit codes are a contract that scripts rely on.
+// Checks the exit codes, which scripts rely on.
 func TestExitCodes(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	c.configure()
 	c.server("server-0")
-	c.untilUsable(1)
+	c.waitUsable(1)
 	cases := []struct {
 		name, args, says string
 		want             int
@@ -117,18 +117,18 @@
 	}
 	for _, k := range cases {
 		t.Run(k.name, func(t *testing.T) {
-			code, out := c.command(c.own["entry-0"], strings.Fields(k.args)...)
+			code, out := c.runCommand(c.listenAddress["entry-0"], strings.Fields(k.args)...)
 			assert.Equal(t, code, k.want, out)
 			assert.Assert(t, strings.Contains(out, k.says), out)
 		})
 	}
-	t.Run("nobody listens", func(t *testing.T) {
-		code, out := c.command("127.0.0.1:9", "status")
+	t.Run("no listener", func(t *testing.T) {
+		code, out := c.runCommand("127.0.0.1:9", "status")
 		assert.Equal(t, code, 3, out)
 	})
 }
 
-func (c *cluster) command(entry string, args ...string) (int, string) {
+func (c *cluster) runCommand(entry string, args ...string) (int, string) {
 	cmd := exec.Command(filepath.Join(binaries, "sycamoredeck"), args...)
 	cmd.Env = []string{"SYCAMOREDECK_ENTRY=" + entry}
 	out, err := cmd.CombinedOutput()
@@ -139,36 +139,36 @@
 	return 0, string(out)
 }
 
-// spanSink is a receiver of traces that notes the names of spans by trace.
-type spanSink struct {
+// traceCollector receives spans and records their names by trace.
+type traceCollector struct {
 	collector.UnimplementedTraceServiceServer
 	mu     sync.Mutex
 	traces map[string]map[string]bool
 }
 
-// Export takes spans.
-func (s *spanSink) Export(_ context.Context, r *collector.ExportTraceServiceRequest) (*collector.ExportTraceServiceResponse, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// Export records the spans.
+func (c *traceCollector) Export(_ context.Context, r *collector.ExportTraceServiceRequest) (*collector.ExportTraceServiceResponse, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, resource := range r.ResourceSpans {
 		for _, scope := range resource.ScopeSpans {
 			for _, span := range scope.Spans {
 				id := string(span.TraceId)
-				if s.traces[id] == nil {
-					s.traces[id] = map[string]bool{}
+				if c.traces[id] == nil {
+					c.traces[id] = map[string]bool{}
 				}
-				s.traces[id][span.Name] = true
+				c.traces[id][span.Name] = true
 			}
 		}
 	}
 	return &collector.ExportTraceServiceResponse{}, nil
 }
 
-// has tells whether one trace has all the spans.
-func (s *spanSink) has(names ...string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, spans := range s.traces {
+// hasTrace reports whether a single trace contains all the spans.
+func (c *traceCollector) hasTrace(names ...string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, spans := range c.traces {
 		all := true
 		for _, n := range names {
 			all = all && spans[n]
@@ -180,12 +180,12 @@
 	return false
 }
 
-// One trace shows every hop: caller to entry, entry to backend server, entry
-// to control, and the commit.
-func TestTraceHasASpanForEachHop(t *testing.T) {
+// Checks that a trace has spans for each hop: caller to entry, entry to backend server,
+// entry to control, and the commit.
+func TestTraceHasSpanForEachHop(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	sink := &spanSink{traces: map[string]map[string]bool{}}
+	sink := &traceCollector{traces: map[string]map[string]bool{}}
 	receiver := grpc.NewServer()
 	collector.RegisterTraceServiceServer(receiver, sink)
 	go receiver.Serve(listener) //nolint:errcheck // ends with the test
@@ -193,13 +193,13 @@
 	c := newCluster(t, 1, 1, "--trace-endpoint", listener.Addr().String(), "--trace-ratio", "1")
 	c.configure()
 	c.server("server-0")
-	c.untilUsable(1)
+	c.waitUsable(1)
 	_, err = c.call("entry-0", "once-1", false)
 	assert.NilError(t, err)
 	c.submit("entry-0", "k", "batch", "units=1", false)
 	const service = "sycamoredeck.v1."
-	c.until("the call's hops are seen", func() bool {
-		return sink.has(service+"CallerService/Call", "attempt", service+"ControlService/OpenDispatch", "commit")
+	c.waitFor("the trace of the call is complete", func() bool {
+		return sink.hasTrace(service+"CallerService/Call", "attempt", service+"ControlService/OpenDispatch", "commit")
 	})
-	c.until("the job's hops are seen", func() bool { return sink.has(service+"JobService/Submit", "commit") })
+	c.waitFor("the trace of the job is complete", func() bool { return sink.hasTrace(service+"JobService/Submit", "commit") })
 }
--- a/internal/itest/jobs_test.go
+++ b/internal/itest/jobs_test.go
@@ -1,4 +1,4 @@
-// This file defines how the tests hand in jobs and follow them.
+// This file implements the submission and inspection of jobs.
 
 package itest
 
@@ -14,7 +14,7 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// submit hands in a job that has to be taken at the first try.
+// submit submits a job and requires that it is accepted at the first attempt.
 func (c *cluster) submit(entry, key, kind, payload string, urgent bool) string {
 	c.t.Helper()
 	id, err := c.trySubmit(entry, key, kind, payload, urgent)
@@ -22,12 +22,12 @@
 	return id
 }
 
-// submitAgain hands in a job as its owners do: again, under the same key, for as long as
-// the answer is that it was refused and nothing was done.
-func (c *cluster) submitAgain(entry, key, kind, payload string) string {
+// submitWithRetries submits a job under the same key until it is accepted. Each refusal
+// must say that nothing was done.
+func (c *cluster) submitWithRetries(entry, key, kind, payload string) string {
 	c.t.Helper()
 	id := ""
-	c.until(fmt.Sprintf("job %s is taken", key), func() bool {
+	c.waitFor(fmt.Sprintf("job %s is accepted", key), func() bool {
 		var err error
 		if id, err = c.trySubmit(entry, key, kind, payload, false); err == nil {
 			return true
@@ -42,7 +42,7 @@
 func (c *cluster) trySubmit(entry, key, kind, payload string, urgent bool) (string, error) {
 	ctx, cancel := c.context()
 	defer cancel()
-	r, err := wire.NewJobServiceClient(c.at(entry)).Submit(ctx, &wire.SubmitRequest{IdempotencyKey: key, Spec: &wire.JobSpec{
+	r, err := wire.NewJobServiceClient(c.connTo(entry)).Submit(ctx, &wire.SubmitRequest{IdempotencyKey: key, Spec: &wire.JobSpec{
 		ClientAccount: "acct", JobKind: kind, Payload: []byte(payload), Urgent: urgent,
 	}})
 	if err != nil {
@@ -51,11 +51,11 @@
 	return r.Job.JobId, nil
 }
 
-// job asks any entry that answers.
+// job returns the job from the first entry that answers, or nil.
 func (c *cluster) job(id string) *wire.Job {
 	for _, e := range c.entries {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-		r, err := wire.NewJobServiceClient(c.at(e)).Get(ctx, &wire.GetRequest{JobId: id})
+		r, err := wire.NewJobServiceClient(c.connTo(e)).Get(ctx, &wire.GetRequest{JobId: id})
 		cancel()
 		if err == nil {
 			return r.Job
@@ -64,10 +64,10 @@
 	return nil
 }
 
-func (c *cluster) untilState(id string, want wire.JobState) *wire.Job {
+func (c *cluster) waitJobState(id string, want wire.JobState) *wire.Job {
 	c.t.Helper()
 	var j *wire.Job
-	c.until(fmt.Sprintf("job %s is %v", id, want), func() bool {
+	c.waitFor(fmt.Sprintf("job %s is %v", id, want), func() bool {
 		j = c.job(id)
 		return j.GetState() == want
 	})
--- a/internal/itest/proxy_test.go
+++ b/internal/itest/proxy_test.go
@@ -1,4 +1,4 @@
-// This file defines the fault-injecting proxy.
+// This file implements the fault-injecting proxy.
 
 package itest
 
@@ -12,35 +12,35 @@
 	"gotest.tools/v3/assert"
 )
 
-const holdPoll = 5 * time.Millisecond
+const blockPollInterval = 5 * time.Millisecond
 
 type (
-	// mesh stands between all processes. Each opens its connections from an IP
-	// number of its own, by which the mesh knows who opened one, so that faults
-	// can be set for pairs though all reach a process by one address.
-	mesh struct {
-		mu    sync.Mutex
-		names map[string]string  // by IP number
-		cuts  map[[2]string]bool // from opener to target; holds both ways
-		delay time.Duration
-		conns map[*pipe]bool
+	// proxyMesh forwards all connections between processes. Each process connects from
+	// an IP address of its own, by which the mesh identifies it, so that faults can be
+	// injected for pairs of processes.
+	proxyMesh struct {
+		mu      sync.Mutex
+		names   map[string]string // by IP address
+		blocked map[[2]string]bool // source and target; blocks both directions
+		delay   time.Duration
+		conns   map[*proxyConn]bool
 	}
 
-	// pipe is one connection through the mesh.
-	pipe struct {
-		opener, target string
-		// silent holds everything for good: something between the ends has
-		// forgotten the connection.
-		silent bool
+	// proxyConn is one connection through the mesh.
+	proxyConn struct {
+		source, target string
+		// blackholed blocks the connection forever, as after the loss of connection
+		// tracking state.
+		blackholed bool
 	}
 )
 
-func newMesh() *mesh {
-	return &mesh{names: map[string]string{}, cuts: map[[2]string]bool{}, conns: map[*pipe]bool{}}
+func newProxyMesh() *proxyMesh {
+	return &proxyMesh{names: map[string]string{}, blocked: map[[2]string]bool{}, conns: map[*proxyConn]bool{}}
 }
 
-// listen puts a proxy before a target and returns the proxy's address.
-func (m *mesh) listen(t *testing.T, name, target string) string {
+// listen starts a proxy to target and returns its address.
+func (m *proxyMesh) listen(t *testing.T, name, target string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -57,9 +57,9 @@
 	return listener.Addr().String()
 }
 
-func (m *mesh) serve(from net.Conn, name, target string) {
+func (m *proxyMesh) serve(from net.Conn, name, target string) {
 	defer from.Close()
-	p := &pipe{opener: m.openerOf(from), target: name}
+	p := &proxyConn{source: m.sourceOf(from), target: name}
 	m.mu.Lock()
 	m.conns[p] = true
 	m.mu.Unlock()
@@ -68,83 +68,83 @@
 		delete(m.conns, p)
 		m.mu.Unlock()
 	}()
-	m.hold(p) // a cut swallows the opening too
+	m.waitUnblocked(p) // connecting is blocked as well
 	to, err := net.DialTimeout("tcp", target, time.Second)
 	if err != nil {
 		return
 	}
 	defer to.Close()
 	done := make(chan struct{}, 2)
-	go func() { m.pump(p, from, to); done <- struct{}{} }()
-	go func() { m.pump(p, to, from); done <- struct{}{} }()
+	go func() { m.forward(p, from, to); done <- struct{}{} }()
+	go func() { m.forward(p, to, from); done <- struct{}{} }()
 	<-done
 }
 
-func (m *mesh) pump(p *pipe, from, to net.Conn) {
+func (m *proxyMesh) forward(p *proxyConn, from, to net.Conn) {
 	buffer := make([]byte, 64<<10)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			m.hold(p)
+			m.waitUnblocked(p)
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
 		if err != nil {
-			m.hold(p) // an end behind a cut isn't heard of
+			m.waitUnblocked(p) // so is closing
 			return
 		}
 	}
 }
 
-// hold delays as the faults say; bytes held by a cut go on when it heals, as
-// retransmission would have it.
-func (m *mesh) hold(p *pipe) {
+// waitUnblocked delays the caller and blocks it as long as the connection is blocked.
+// Blocked data is delivered afterwards, as after retransmission.
+func (m *proxyMesh) waitUnblocked(p *proxyConn) {
 	m.mu.Lock()
 	delay := m.delay
 	m.mu.Unlock()
 	time.Sleep(delay)
 	for {
 		m.mu.Lock()
-		held := p.silent || m.cuts[[2]string{p.opener, p.target}]
+		held := p.blackholed || m.blocked[[2]string{p.source, p.target}]
 		m.mu.Unlock()
 		if !held {
 			return
 		}
-		time.Sleep(holdPoll)
+		time.Sleep(blockPollInterval)
 	}
 }
 
-// isolate cuts a process off from all others, both ways and silently.
-func (m *mesh) isolate(name string, others ...string) {
+// isolate blocks all connections between a process and others, in both directions.
+func (m *proxyMesh) isolate(name string, others ...string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, other := range others {
 		if other != name {
-			m.cuts[[2]string{name, other}], m.cuts[[2]string{other, name}] = true, true
+			m.blocked[[2]string{name, other}], m.blocked[[2]string{other, name}] = true, true
 		}
 	}
 }
 
-// heal ends all cuts.
-func (m *mesh) heal() {
+// heal unblocks all connections that isolate has blocked.
+func (m *proxyMesh) heal() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	clear(m.cuts)
+	clear(m.blocked)
 }
 
-// forget makes every present connection silent for good; new ones work.
-func (m *mesh) forget() int {
+// blackholeAll blocks all open connections forever. New connections work.
+func (m *proxyMesh) blackholeAll() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for p := range m.conns {
-		p.silent = true
+		p.blackholed = true
 	}
 	return len(m.conns)
 }
 
-// source gives a process the IP number that it opens connections from.
-func (m *mesh) source(name string) string {
+// sourceIP returns the IP address from which a process opens connections.
+func (m *proxyMesh) sourceIP(name string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for ip, known := range m.names {
@@ -157,9 +157,8 @@
 	return ip
 }
 
-// openerOf tells which process opened a connection; empty for those that the
-// mesh gave no IP number.
-func (m *mesh) openerOf(conn net.Conn) string {
+// sourceOf returns the process that opened a connection, or "" if it is unknown.
+func (m *proxyMesh) sourceOf(conn net.Conn) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.names[conn.RemoteAddr().(*net.TCPAddr).IP.String()]
--- a/internal/itest/request_test.go
+++ b/internal/itest/request_test.go
@@ -1,4 +1,4 @@
-// This file defines the proofs about requests, leaving and shutdown.
+// This file tests calls, leaving backend servers and graceful shutdown.
 
 package itest
 
@@ -19,20 +19,18 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// Symptom: a request that must not be repeated runs twice, one runs whose
-// caller was told not run, or a caller gets another's answer or half of its
-// own. Sequence: backend servers refuse, hang, cut answers short and answer
-// under other ids, while a backend server, an entry and the control leader are
-// killed.
+// Guards against repeating a non-idempotent request, executing one that was reported as
+// not run, and returning a wrong or truncated response, when backend servers inject faults
+// and processes are killed.
 func TestRequestsUnderFaults(t *testing.T) {
 	c := newCluster(t, 3, 3)
 	c.configure()
 	for i := range 4 {
 		c.server(fmt.Sprintf("server-%d", i), "--refuse", "0.05", "--short", "0.03", "--mismatch", "0.03", "--hang", "0.003", "--seed", fmt.Sprint(i))
 	}
-	c.untilUsable(4)
-	once := c.load("once", "--rate", "60", "--duration", "6s", "--idempotent", "0", "--timeout", "500ms")
-	many := c.load("many", "--rate", "150", "--duration", "6s", "--timeout", "1s")
+	c.waitUsable(4)
+	once := c.startLoad("once", "--rate", "60", "--duration", "6s", "--idempotent", "0", "--timeout", "500ms")
+	many := c.startLoad("many", "--rate", "150", "--duration", "6s", "--timeout", "1s")
 	time.Sleep(1500 * time.Millisecond)
 	c.kill("server-0")
 	time.Sleep(time.Second)
@@ -46,17 +44,17 @@
 	r = many()
 	assert.Equal(t, r.Wrong, int64(0))
 	assert.Equal(t, r.Failed, int64(0), "%v", r.Errors)
-	f := c.assertPromises()
+	f := c.assertNoViolations()
 	assert.Assert(t, f.Requests > 500)
 }
 
-// Symptom: a non-idempotent request runs twice because its caller, whose
-// answer was lost, sent it again through another entry.
+// Guards against executing a non-idempotent request twice when its caller sends it again
+// through another entry.
 func TestSameRequestThroughTwoEntries(t *testing.T) {
 	c := newCluster(t, 3, 2)
 	c.configure()
 	c.server("server-0")
-	c.untilUsable(1)
+	c.waitUsable(1)
 	first, err := c.call("entry-0", "once-1", false)
 	assert.NilError(t, err)
 	assert.Equal(t, first.Outcome, wire.Outcome_OUTCOME_COMPLETED)
@@ -65,24 +63,22 @@
 		assert.NilError(t, err)
 		assert.Equal(t, string(again.Payload), string(first.Payload))
 	})
-	t.Run("another entry knows that it ran", func(t *testing.T) {
+	t.Run("another entry reports that it may have run", func(t *testing.T) {
 		again, err := c.call("entry-1", "once-1", false)
 		assert.NilError(t, err)
 		assert.Equal(t, again.Outcome, wire.Outcome_OUTCOME_UNKNOWN)
 		assert.Assert(t, again.Attempts == 0)
 	})
-	c.assertPromises()
+	c.assertNoViolations()
 }
 
-// Symptom: a caller is told not run of a request that has run. Sequence: it
-// ran, its answer was lost, and the caller sends it again through an entry
-// that can't look at the record, here for want of a leader. Cause: not run
-// was said of the second send, and heard of the request.
-func TestResendIsNotToldNotRun(t *testing.T) {
+// Guards against reporting a request as not run that was executed by an earlier send, when
+// the entry can't read its record for lack of a leader.
+func TestResendOfExecutedRequestIsUnknown(t *testing.T) {
 	c := newCluster(t, 3, 2)
 	c.configure()
 	c.server("server-0")
-	c.untilUsable(1)
+	c.waitUsable(1)
 	_, err := c.call("entry-0", "once-1", false)
 	assert.NilError(t, err)
 	c.kill("control-0")
@@ -92,26 +88,26 @@
 	assert.Equal(t, again.Outcome, wire.Outcome_OUTCOME_UNKNOWN)
 	c.restart("control-0")
 	c.leader()
-	t.Run("a resend of what never ran is run", func(t *testing.T) {
+	t.Run("a resend of a request that never ran is executed", func(t *testing.T) {
 		r, err := c.send("entry-1", &wire.CallRequest{RequestId: "once-2", Resend: true})
 		assert.NilError(t, err)
 		assert.Equal(t, r.Outcome, wire.Outcome_OUTCOME_COMPLETED, r.Reason)
 	})
-	t.Run("an unknown without a record isn't held", func(t *testing.T) {
+	t.Run("the reason names the entry that sent it first", func(t *testing.T) {
 		r, err := c.send("entry-1", &wire.CallRequest{RequestId: "once-1", Resend: true})
 		assert.NilError(t, err)
 		assert.Assert(t, strings.Contains(r.Reason, "entry-0"), r.Reason)
 	})
-	c.assertPromises()
+	c.assertNoViolations()
 }
 
-// Without a control leader nothing that must not be repeated is sent, and
-// what may be is served all the same.
+// Checks that without a leader non-idempotent requests are refused and idempotent ones are
+// served.
 func TestCallsWithoutLeader(t *testing.T) {
 	c := newCluster(t, 3, 1)
 	c.configure()
 	c.server("server-0")
-	c.untilUsable(1)
+	c.waitUsable(1)
 	c.kill("control-0")
 	c.kill("control-1")
 	r, err := c.call("entry-0", "many-1", true)
@@ -121,18 +117,16 @@
 	assert.NilError(t, err)
 	assert.Equal(t, r.Outcome, wire.Outcome_OUTCOME_NOT_RUN)
 	assert.Assert(t, r.RetryAfter.AsDuration() > 0)
-	c.assertPromises()
+	c.assertNoViolations()
 }
 
-// Symptom: while no control leader is elected the calls that may be repeated
-// wait too, and p99 of a service rises to the length of the election.
-// Sequence: calls that must not be repeated wait for their records. Cause:
-// they held slots while they waited.
-func TestWaitingForRecordsHoldsNoSlot(t *testing.T) {
+// Guards against calls that occupy slots while they wait for their records: during an
+// election they would delay idempotent calls as well.
+func TestCallsWaitingForRecordsUseNoSlots(t *testing.T) {
 	c := newCluster(t, 3, 1)
 	c.configure()
 	c.server("server-0", "--slots", "2")
-	c.untilUsable(1)
+	c.waitUsable(1)
 	c.kill("control-0")
 	c.kill("control-1")
 	var group sync.WaitGroup
@@ -147,10 +141,10 @@
 		r, err := c.call("entry-0", fmt.Sprint("many-", i), true)
 		assert.NilError(t, err)
 		assert.Equal(t, r.Outcome, wire.Outcome_OUTCOME_COMPLETED, r.Reason)
-		time.Sleep(pollTime)
+		time.Sleep(pollInterval)
 	}
 	group.Wait()
-	c.assertPromises()
+	c.assertNoViolations()
 }
 
 func (c *cluster) serverStats(name string) server.Stats {
@@ -163,10 +157,8 @@
 	return s
 }
 
-// Symptom: a leaving backend server still gets new work after seconds.
-// Sequence: it announces to one entry that it leaves; that entry dies, or is
-// cut off from the others, or there is no control leader. Cause, where it
-// fails: news that travel one way only, or evidence that doesn't age.
+// Guards against new requests to a leaving backend server, which announced it to one entry
+// only, under several faults.
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -184,8 +176,8 @@
 			for i := range 3 {
 				c.server(fmt.Sprintf("server-%d", i), "--leave-time", "6s")
 			}
-			c.untilUsable(3)
-			report := c.load("many", "--rate", "200", "--duration", "8s")
+			c.waitUsable(3)
+			report := c.startLoad("many", "--rate", "200", "--duration", "8s")
 			time.Sleep(time.Second)
 			k.fault(c)
 			c.signal("server-0", syscall.SIGTERM)
@@ -197,23 +189,21 @@
 	}
 }
 
-// Symptom: a rolling restart cuts requests off. Sequence: under load each
-// entry, then the control leader, is told to stop and started again. Nothing
-// may fail, and nothing may end as unknown.
-func TestGracefulShutdownCutsNothing(t *testing.T) {
+// Guards against failed requests and unknown outcomes during a rolling restart under load.
+func TestGracefulRestartFailsNoRequest(t *testing.T) {
 	c := newCluster(t, 3, 3)
 	c.configure()
 	for i := range 3 {
 		c.server(fmt.Sprintf("server-%d", i), "--service-time", "800ms", "--slots", "64")
 	}
-	c.untilUsable(3)
-	many := c.load("many", "--rate", "50", "--duration", "12s", "--timeout", "8s")
-	once := c.load("once", "--rate", "20", "--duration", "12s", "--timeout", "8s", "--idempotent", "0")
+	c.waitUsable(3)
+	many := c.startLoad("many", "--rate", "50", "--duration", "12s", "--timeout", "8s")
+	once := c.startLoad("once", "--rate", "20", "--duration", "12s", "--timeout", "8s", "--idempotent", "0")
 	for _, e := range c.entries {
 		c.signal(e, syscall.SIGTERM)
 		c.wait(e)
 		c.restart(e)
-		c.until(e+" is back", func() bool { return c.usable(e) == 3 })
+		c.waitFor(e+" is back", func() bool { return c.usable(e) == 3 })
 	}
 	leader := c.leader()
 	c.signal(leader, syscall.SIGTERM)
@@ -224,18 +214,18 @@
 		assert.Equal(t, r.Unknown, int64(0), "%s: %v", name, r.Reasons)
 		assert.Assert(t, r.Completed > r.Sent*9/10, "%s: %d of %d: %v", name, r.Completed, r.Sent, r.Reasons)
 	}
-	c.assertPromises()
+	c.assertNoViolations()
 }
 
-// Symptom: slots or connections of a backend server are exceeded. Three
-// entries together must keep to both, under more load than there are slots.
-func TestSlotsAndConnectionsAreKept(t *testing.T) {
+// Guards against exceeding the slots or connections of a backend server when three entries
+// are overloaded.
+func TestSlotAndConnectionLimits(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	c.configure()
 	c.server("server-0", "--service-time", "20ms", "--slots", "4", "--connections", "8", "--leave-time", "0s")
-	c.untilUsable(1)
-	time.Sleep(1500 * time.Millisecond) // the entries' view of each other settles
-	report := c.load("many", "--rate", "600", "--duration", "3s", "--timeout", "300ms")
+	c.waitUsable(1)
+	time.Sleep(1500 * time.Millisecond) // until the entries have divided the slots
+	report := c.startLoad("many", "--rate", "600", "--duration", "3s", "--timeout", "300ms")
 	r := report()
 	assert.Assert(t, r.NotRun > 0 && r.Completed > 0, "%+v", r)
 	assert.Equal(t, r.Wrong, int64(0))
@@ -246,38 +236,36 @@
 	assert.Equal(t, s.Refused, int64(0))
 }
 
-// Symptom: everything hangs though all processes live. Sequence: something
-// between the ends forgets all present connections; new ones work. Cause,
-// where it fails: a connection of any kind that is waited on without bound. A job that
-// is refused as not done during the election that follows is handed in again.
-func TestForgottenConnectionsAreReplaced(t *testing.T) {
+// Guards against waiting forever on connections that were blackholed, of any kind. Jobs that
+// are refused during the following election are submitted again.
+func TestBlackholedConnectionsAreReplaced(t *testing.T) {
 	c := newCluster(t, 3, 2)
 	c.configure()
 	c.server("server-0")
 	c.server("server-1")
 	c.worker("worker-0")
-	c.untilUsable(2)
-	c.untilWorkers(1)
+	c.waitUsable(2)
+	c.waitWorkers(1)
 	standing := c.submit("entry-0", "s", "standing", "", false)
-	c.untilState(standing, wire.JobState_JOB_STATE_RUNNING)
+	c.waitJobState(standing, wire.JobState_JOB_STATE_RUNNING)
 	for round := range 2 {
-		assert.Assert(t, c.mesh.forget() > 10)
+		assert.Assert(t, c.mesh.blackholeAll() > 10)
 		for _, e := range c.entries {
 			for i := range 5 {
 				id := fmt.Sprintf("%s-%d-%d", e, round, i)
-				c.until("calls are answered", func() bool {
+				c.waitFor("calls are answered", func() bool {
 					r, err := c.call(e, id, true)
 					return err == nil && r.Outcome == wire.Outcome_OUTCOME_COMPLETED
 				})
 			}
 		}
 		key := fmt.Sprint("after", round)
-		// The control replicas have lost all their connections too, so that none of them
-		// has a quorum until they are replaced, and an election follows.
-		c.untilState(c.submitAgain("entry-1", key, "batch", "units=5"), wire.JobState_JOB_STATE_FINISHED)
+		// The control replicas have no quorum until their connections are replaced, so an
+		// election follows.
+		c.waitJobState(c.submitWithRetries("entry-1", key, "batch", "units=5"), wire.JobState_JOB_STATE_FINISHED)
 		c.applyNext("entry-0", uint64(round+2))
 	}
-	c.untilState(standing, wire.JobState_JOB_STATE_RUNNING)
-	c.untilUsable(2)
-	c.assertPromises()
+	c.waitJobState(standing, wire.JobState_JOB_STATE_RUNNING)
+	c.waitUsable(2)
+	c.assertNoViolations()
 }
--- a/internal/model/audit/audit.go
+++ b/internal/model/audit/audit.go
@@ -1,9 +1,7 @@
-// This file defines Check, which finds broken promises in journals.
-
-// Package audit reads the journals of model workers and servers and finds what
-// must not have happened: a task in two places, a unit of work done twice
-// without need, a request run twice, or one run that its caller was told was
-// not.
+// Package audit checks the journals of simulated workers, servers and callers for
+// violations of the system's guarantees: a task in two places, a unit of work repeated
+// needlessly, a request executed twice, or one executed although its caller was told
+// otherwise.
 package audit
 
 import (
@@ -16,24 +14,24 @@
 	"sycamoredeck.example/internal/model/front"
 )
 
-// maxLineBytes is the longest journal line read.
+// maxLineBytes is the maximum length of a journal line.
 const maxLineBytes = 1 << 20
 
 type (
-	// Findings are counts of broken promises, and the first few in words.
+	// Findings counts violations and describes the first few.
 	Findings struct {
 		Tasks, Finished, Requests int
-		// Overlaps: an attempt went on after a later one had begun.
+		// Overlaps counts units done by an attempt after a later attempt had started.
 		Overlaps int
-		// FinishedTwice: a job was finished by more than one attempt.
+		// FinishedTwice counts jobs that were finished by more than one attempt.
 		FinishedTwice int
-		// RunTwice: a non-idempotent request ran more than once.
+		// RunTwice counts non-idempotent requests that were executed more than once.
 		RunTwice int
-		// NotRunButRan: the caller was told not run, and it ran.
+		// NotRunButRan counts executed requests whose callers were told "not run".
 		NotRunButRan int
-		// UnitsRepeated: units done by more than one attempt. That is no
-		// broken promise where a worker was lost between checkpoints, and is
-		// one where work was stopped by order.
+		// UnitsRepeated counts units done by more than one attempt. They are expected
+		// when a worker is lost between checkpoints, and a violation when the attempt
+		// was stopped by an order.
 		UnitsRepeated int
 		Examples      []string
 	}
@@ -43,12 +41,12 @@
 	}
 )
 
-// Broken is the number of broken promises.
+// Violations returns the number of violations, without UnitsRepeated.
 func (f *Findings) Violations() int {
 	return f.Overlaps + f.FinishedTwice + f.RunTwice + f.NotRunButRan
 }
 
-// Read reads journal files. A last line that a kill cut off is passed over.
+// Read reads journal files and sorts the events by time. It skips incomplete lines.
 func Read(paths []string) ([]front.Event, error) {
 	var events []front.Event
 	for _, path := range paths {
@@ -73,8 +71,8 @@
 	return events, nil
 }
 
-// Check looks through events in the order of time. Once tells whether a
-// request id is of one that must not run twice.
+// Check checks events in the order of their times. Once reports whether the request with
+// an id must not be executed twice.
 func Check(events []front.Event, once func(id string) bool) *Findings {
 	f := &Findings{}
 	tasks, requests := map[string]*eventHistory{}, map[string]*eventHistory{}
--- a/internal/model/caller/caller.go
+++ b/internal/model/caller/caller.go
@@ -1,8 +1,6 @@
-// This file defines Run, a model of callers under an open-loop load.
-
-// Package caller models callers: requests arrive by their own clock, whether
-// or not earlier ones are answered, and latency counts from when a request was
-// due, so that a stall shows in full (no coordinated omission).
+// Package caller simulates callers under an open-loop load: requests are sent on schedule,
+// whether or not earlier ones have been answered, and latency is measured from the
+// scheduled time (no coordinated omission).
 package caller
 
 import (
@@ -29,22 +27,22 @@
 const (
 	maxLatencyMicros  = int64(10 * time.Minute / time.Microsecond)
 	significantDigits = 3
-	// maxReasons bounds the reasons told apart.
+	// maxReasons limits the number of distinct reasons in a report.
 	maxReasons = 20
-	// exactPacingRate is the rate from which the pacing is exact, at the cost of a
-	// processor.
+	// exactPacingRate is the rate in requests per second from which requests are sent at
+	// their exact time by busy waiting.
 	exactPacingRate = 500
-	// maxOutstanding bounds the requests waiting at once.
+	// maxOutstanding limits the number of requests in flight.
 	maxOutstanding = 20000
 )
 
 type (
-	// Options describe one load.
+	// Options describes the load.
 	Options struct {
 		Entries          []string
 		ClientAccount    string
 		Service          string
-		Rate             float64 // requests a second
+		Rate             float64 // requests per second
 		Duration         time.Duration
 		Timeout          time.Duration
 		PayloadBytes     int
@@ -54,19 +52,19 @@
 		FollowRetryAfter bool
 		MaxRetries       int
 		Journal          *front.Journal
-		// Connections is how many connections each entry gets; 1 when 0.
+		// Connections is the number of connections to each entry; 0 means 1.
 		Connections int
-		// Direct is a backend server's address to call without an entry, as
-		// the baseline that an entry's cost is measured against.
+		// Direct is the address of a backend server to call without an entry, as a
+		// baseline for measuring the overhead of entries.
 		Direct string
 	}
 
-	// Report is what callers saw. Latencies are of completed requests.
+	// Report summarizes the outcomes. Latencies are those of completed requests.
 	Report struct {
 		Sent, Completed, NotRun, Unknown, Failed, Wrong, Skipped int64
-		// Reasons counts why requests weren't run or ended as unknown.
+		// Reasons counts the reasons for the outcomes "not run" and "unknown".
 		Reasons map[string]int64
-		// Errors holds the first few failures.
+		// Errors holds the first few errors.
 		Errors                      []string
 		Attempts, Returns           int64
 		Seconds, CompletedPerSecond float64
@@ -88,7 +86,7 @@
 	}
 )
 
-// Run sends the load and waits for all answers.
+// Run generates the load and waits for all responses.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	r := &run{
 		options: options, payload: bytes.Repeat([]byte("x"), options.PayloadBytes),
@@ -106,8 +104,8 @@
 	return r.summarize(), nil
 }
 
-// await waits until a moment. The runtime's timers are a millisecond coarse,
-// which would send a fast load in bursts, so the last stretch is spun.
+// waitUntil sleeps until due. At high rates it spins for the last two milliseconds, since
+// the resolution of timers would turn the load into bursts.
 func (r *run) waitUntil(due time.Time) {
 	if r.options.Rate < exactPacingRate {
 		time.Sleep(time.Until(due))
@@ -139,7 +137,7 @@
 	}
 }
 
-// load sends requests at exponentially spread moments (a Poisson process).
+// sendAll sends requests with exponentially distributed intervals (a Poisson process).
 func (r *run) sendAll(ctx context.Context, began time.Time) {
 	random := rand.New(rand.NewPCG(r.options.Seed, 2))
 	var group sync.WaitGroup
@@ -163,16 +161,16 @@
 	group.Wait()
 }
 
-// one sends a request and, when told that it was not run, returns as told.
+// sendWithRetries sends a request, and retries it after "not run" if configured.
 func (r *run) sendWithRetries(ctx context.Context, id string, idempotent bool, due time.Time) {
 	r.update(func(s *Report) { s.Sent++ })
-	for returns := 0; ; returns++ {
+	for retries := 0; ; retries++ {
 		response, err := r.send(ctx, id, idempotent)
 		if err != nil {
 			r.recordError(err, idempotent)
 			return
 		}
-		if response.Outcome == wire.Outcome_OUTCOME_NOT_RUN && r.options.FollowRetryAfter && returns < r.options.MaxRetries {
+		if response.Outcome == wire.Outcome_OUTCOME_NOT_RUN && r.options.FollowRetryAfter && retries < r.options.MaxRetries {
 			r.update(func(s *Report) { s.Returns++ })
 			time.Sleep(response.RetryAfter.AsDuration())
 			continue
@@ -199,8 +197,7 @@
 			return nil, err
 		}
 		response, err := wire.NewCallerServiceClient(conn).Call(ctx, request)
-		// An entry that died under an idempotent request is no reason to give
-		// it up: another entry takes it.
+		// Idempotent requests that fail with their entry are sent to another one.
 		if status.Code(err) == codes.Unavailable && idempotent && ctx.Err() == nil {
 			time.Sleep(10 * time.Millisecond)
 			continue
@@ -209,7 +206,7 @@
 	}
 }
 
-// sendDirect calls the backend server as an entry would.
+// sendDirect calls the backend server in the same way as an entry.
 func (r *run) sendDirect(id string) (*wire.CallResponse, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -230,7 +227,7 @@
 func (r *run) recordError(err error, idempotent bool) {
 	r.update(func(s *Report) {
 		if !idempotent && status.Code(err) == codes.Unavailable {
-			s.Unknown++ // the entry died under it; only its record knows
+			s.Unknown++ // the entry failed, and the outcome is known to its record only
 			return
 		}
 		s.Failed++
--- a/internal/model/front/balancer.go
+++ b/internal/model/front/balancer.go
@@ -1,7 +1,5 @@
-// This file defines Balancer, a model of the platform's balancer.
-
-// Package front models the platform's balancer: callers, backend servers and
-// workers reach the entries through it and know none by name.
+// Package front simulates the platform's load balancer, through which callers, backend
+// servers and workers reach the entries.
 package front
 
 import (
@@ -24,7 +22,7 @@
 	checkTimeout  = 500 * time.Millisecond
 )
 
-// ErrNoReadyEntry says that no entry is ready.
+// ErrNoReadyEntry is returned when no entry is ready.
 var ErrNoReadyEntry = errors.New("no entry is ready")
 
 type entry struct {
@@ -33,14 +31,14 @@
 	ready   bool
 }
 
-// Balancer gives connections to entries that say they are ready.
+// Balancer provides connections to ready entries.
 type Balancer struct {
 	mu      sync.Mutex
 	entries []*entry
 	cancel  context.CancelFunc
 }
 
-// New starts checking the addresses.
+// New returns a balancer and starts health checks of the addresses.
 func New(addresses []string) (*Balancer, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	b := &Balancer{cancel: cancel}
@@ -67,8 +65,8 @@
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(link.MaxMessageBytes)))
 }
 
-// check asks one entry again and again. After a check without answer it takes
-// a new connection, as a balancer does.
+// checkHealth checks one entry periodically, and replaces its connection after a check
+// that timed out.
 func (b *Balancer) checkHealth(ctx context.Context, t *entry) {
 	for ctx.Err() == nil {
 		limited, cancel := context.WithTimeout(ctx, checkTimeout)
@@ -106,7 +104,7 @@
 	old.Close()
 }
 
-// Pick returns a connection to a random ready entry.
+// Pick returns a connection to a random ready entry, or ErrNoReadyEntry.
 func (b *Balancer) Pick() (*grpc.ClientConn, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -122,7 +120,7 @@
 	return ready[rand.IntN(len(ready))].conn, nil
 }
 
-// Wait waits until an entry is ready.
+// Wait returns a connection to a ready entry as soon as there is one.
 func (b *Balancer) Wait(ctx context.Context) (*grpc.ClientConn, error) {
 	for {
 		conn, err := b.Pick()
@@ -137,7 +135,7 @@
 	}
 }
 
-// Close ends the checks and all connections.
+// Close stops the health checks and closes all connections.
 func (b *Balancer) Close() {
 	b.cancel()
 	b.mu.Lock()
--- a/internal/model/front/journal.go
+++ b/internal/model/front/journal.go
@@ -1,4 +1,4 @@
-// This file defines Journal, the model's record of what really ran.
+// This file implements Journal, the record of what was executed.
 
 package front
 
@@ -10,7 +10,7 @@
 )
 
 type (
-	// Event is one line of a journal.
+	// Event is a line of a journal.
 	Event struct {
 		At      time.Time
 		Source  string
@@ -20,8 +20,8 @@
 		Unit    uint64 `json:",omitempty"`
 	}
 
-	// Journal appends events to a file, each with one write, so that a kill
-	// leaves whole lines. A nil Journal drops them.
+	// Journal appends events to a file. Each event is a single write, so that a killed
+	// process leaves no partial lines. A nil Journal discards events.
 	Journal struct {
 		mu     sync.Mutex
 		file   *os.File
@@ -29,7 +29,7 @@
 	}
 )
 
-// OpenJournal opens a file for appending; an empty path gives nil.
+// OpenJournal opens a file for appending. It returns nil if path is empty.
 func OpenJournal(path, source string) (*Journal, error) {
 	if path == "" {
 		return nil, nil
@@ -41,7 +41,7 @@
 	return &Journal{file: file, source: source}, nil
 }
 
-// Add appends an event that happens now.
+// Add appends an event with the current time.
 func (j *Journal) Add(kind, id string, attempt uint32, unit uint64) {
 	if j == nil {
 		return
@@ -52,6 +52,6 @@
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	// A line that can't be written shows as work not done, never as done.
+	// The audit counts work whose event is missing as not done.
 	_, _ = j.file.Write(append(data, '\n'))
 }
--- a/internal/model/server/announce.go
+++ b/internal/model/server/announce.go
@@ -1,4 +1,4 @@
-// This file defines how the model announces itself.
+// This file implements the announcements to entries.
 
 package server
 
@@ -17,7 +17,7 @@
 const (
 	announceInterval = 500 * time.Millisecond
 	announceTimeout  = time.Second
-	// leavePollInterval is how soon leaving is announced.
+	// leavePollInterval is the delay at most before leaving is announced.
 	leavePollInterval = 20 * time.Millisecond
 )
 
@@ -31,7 +31,7 @@
 	defer balancer.Close()
 	for ctx.Err() == nil {
 		if conn, err := balancer.Wait(ctx); err == nil {
-			// Any end of the stream has the same remedy: the next entry.
+			// After any error, announce to the next ready entry.
 			_ = s.announceAt(ctx, conn)
 		}
 		select {
@@ -77,7 +77,7 @@
 	}
 }
 
-// pause waits for the next announcement, which leaving makes due at once.
+// waitNextAnnouncement waits until the next announcement is due, or the server leaves.
 func (s *Server) waitNextAnnouncement(ctx context.Context, leaving bool) {
 	until := time.Now().Add(announceInterval)
 	for time.Now().Before(until) && ctx.Err() == nil && s.leaving.Load() == leaving {
--- a/internal/model/server/server.go
+++ b/internal/model/server/server.go
@@ -1,7 +1,5 @@
-// This file defines Server, a model of a backend server.
-
-// Package server models a backend server: it announces itself, answers
-// HTTP/1.1 requests in its slots, and goes wrong as it is told.
+// Package server simulates a backend server, which announces itself to entries, serves
+// HTTP/1.1 requests in its slots, and injects faults.
 package server
 
 import (
@@ -22,40 +20,41 @@
 )
 
 type (
-	// Faults is how a server goes wrong. The zero value is sound.
+	// Faults describes the injected faults. The zero value injects none.
 	Faults struct {
-		// Slow multiplies the service time; 0 is 1.
+		// Slow multiplies the service time; 0 means 1.
 		Slow float64
-		// NoisePeriod and NoiseFactor multiply the service time by the factor
-		// in every second half of the period.
+		// NoiseFactor multiplies the service time during the second half of each
+		// NoisePeriod.
 		NoisePeriod time.Duration
 		NoiseFactor float64
-		// The parts of the requests that are refused, never answered, cut
-		// short, or answered under another request's id.
+		// Shares of requests that are refused, never answered, answered with a
+		// truncated body, or answered under another id.
 		Refuse, Hang, Short, Mismatch float64
 	}
 
-	// Options describe one server.
+	// Options configures a server.
 	Options struct {
 		Announcement *wire.Announcement
 		Entries      []string
 		Listen       string
-		// ServiceTime is the mean of an exponential part and a fixed half.
+		// ServiceTime is the mean service time, of which one half is constant and one
+		// half exponentially distributed.
 		ServiceTime time.Duration
-		// Delay is added once on the way here and once on the way back.
+		// Delay is the simulated network delay in each direction.
 		Delay   time.Duration
 		Faults  Faults
 		Journal *front.Journal
 		Seed    uint64
 	}
 
-	// Stats is what a server has seen.
+	// Stats counts what a server has observed.
 	Stats struct {
 		Served, Refused, Hung, AfterLeaving int64
 		MaxInFlight, MaxConnections         int64
 	}
 
-	// Server is one running backend server.
+	// Server is a running backend server.
 	Server struct {
 		options         Options
 		startedAt       time.Time
@@ -70,7 +69,7 @@
 	}
 )
 
-// With returns the sums of two, and the larger of each maximum.
+// Add returns the sums of the counters and the larger of each maximum.
 func (s Stats) Add(o Stats) Stats {
 	return Stats{
 		Served: s.Served + o.Served, Refused: s.Refused + o.Refused, Hung: s.Hung + o.Hung,
@@ -79,11 +78,11 @@
 	}
 }
 
-// leavingGrace is how long after its leaving was announced a server may still be
-// sent new work; "a few seconds" by the brief.
+// leavingGrace is how long a server may receive new requests after it has announced that
+// it is leaving.
 const leavingGrace = 3 * time.Second
 
-// Run serves until the context ends, leaves, and gives what it has seen.
+// Run serves until ctx is done, leaves, and returns the statistics.
 func Run(ctx context.Context, options Options, leaveTime time.Duration) (Stats, error) {
 	s := &Server{options: options, startedAt: time.Now(), random: rand.New(rand.NewPCG(options.Seed, 1))}
 	listener, err := net.Listen("tcp", options.Listen)
@@ -169,7 +168,7 @@
 		c.Response.Header.Set(route.HeaderRequestID, id+"-other")
 	}
 	if s.draw(s.options.Faults.Short) {
-		// Announces the whole length and breaks off in the middle.
+		// Sends only half of the announced content length.
 		c.SetBodyStream(io.LimitReader(bytes.NewReader(body), int64(len(body)/2)), len(body))
 		c.SetConnectionClose()
 		return
@@ -177,7 +176,7 @@
 	c.SetBody(body)
 }
 
-// Answer is the whole answer to a request, which callers check.
+// ResponseBody returns the expected body of a complete response.
 func ResponseBody(id string, payload []byte) []byte {
 	answer := make([]byte, 0, 2*len(id)+len(payload)+2)
 	answer = append(append(answer, id...), '|')
--- a/internal/model/shell/shell.go
+++ b/internal/model/shell/shell.go
@@ -1,7 +1,5 @@
-// This file defines the command line of the model.
-
-// Package shell is the command line of standin, the model of what lies outside
-// sycamoredeck: backend servers, workers and callers.
+// Package shell implements the command line of standin, which simulates backend servers,
+// workers and callers.
 package shell
 
 import (
@@ -29,7 +27,7 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// Bounds on what a load may be, since it is meant for a test's machine.
+// Limits on the load that a single process generates.
 const (
 	maxRate     = 100_000
 	maxDuration = 10 * time.Minute
@@ -39,7 +37,7 @@
 
 var errNotLoopback = errors.New("only loopback addresses may be loaded")
 
-// Main runs one command line and returns its exit code.
+// Main executes a command line and returns the exit code.
 func Main(args []string, out, errOut io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -58,7 +56,7 @@
 	return 0
 }
 
-// loopback refuses to bind to or load anything that isn't on this machine.
+// requireLoopback returns an error unless all addresses are on this machine.
 func requireLoopback(addresses ...string) error {
 	for _, a := range addresses {
 		host, _, err := net.SplitHostPort(a)
@@ -138,8 +136,8 @@
 	return c
 }
 
-// runServers runs several backend servers that differ by id and port, and
-// prints the sums of what they have seen.
+// runServers runs several backend servers with consecutive ids and ports, and prints
+// their aggregated statistics.
 func runServers(ctx context.Context, out io.Writer, o server.Options, leave time.Duration, count int) error {
 	host, first, err := net.SplitHostPort(o.Listen)
 	if err != nil {
@@ -152,15 +150,15 @@
 	var group errgroup.Group
 	all := make([]server.Stats, count)
 	for i := range count {
-		one := o
-		one.Listen = net.JoinHostPort(host, strconv.Itoa(port+i))
-		one.Seed += uint64(i)
-		one.Announcement = proto.Clone(o.Announcement).(*wire.Announcement)
-		one.Announcement.BackendServerId = fmt.Sprintf("%s-%d", o.Announcement.BackendServerId, i)
-		one.Announcement.Address = one.Listen
+		options := o
+		options.Listen = net.JoinHostPort(host, strconv.Itoa(port+i))
+		options.Seed += uint64(i)
+		options.Announcement = proto.Clone(o.Announcement).(*wire.Announcement)
+		options.Announcement.BackendServerId = fmt.Sprintf("%s-%d", o.Announcement.BackendServerId, i)
+		options.Announcement.Address = options.Listen
 		group.Go(func() error {
 			var err error
-			all[i], err = server.Run(ctx, one, leave)
+			all[i], err = server.Run(ctx, options, leave)
 			return err
 		})
 	}
@@ -218,17 +216,17 @@
 	return c
 }
 
-// runWorkers runs one worker, or several that differ by their id.
+// runWorkers runs one worker, or several with numbered ids.
 func runWorkers(ctx context.Context, o worker.Options, count int) error {
 	if count == 1 {
 		return worker.Run(ctx, o)
 	}
 	var group errgroup.Group
 	for i := range count {
-		one := o
-		one.Worker = proto.Clone(o.Worker).(*wire.Worker)
-		one.Worker.WorkerId = fmt.Sprintf("%s-%d", o.Worker.WorkerId, i)
-		group.Go(func() error { return worker.Run(ctx, one) })
+		options := o
+		options.Worker = proto.Clone(o.Worker).(*wire.Worker)
+		options.Worker.WorkerId = fmt.Sprintf("%s-%d", o.Worker.WorkerId, i)
+		group.Go(func() error { return worker.Run(ctx, options) })
 	}
 	return group.Wait()
 }
@@ -301,7 +299,7 @@
 			return err
 		}
 		if n := findings.Violations(); n > 0 {
-			return fmt.Errorf("%d promises broken", n)
+			return fmt.Errorf("%d violations", n)
 		}
 		return nil
 	}
--- a/internal/model/worker/worker.go
+++ b/internal/model/worker/worker.go
@@ -1,9 +1,6 @@
-// This file defines Worker, a model of the platform's worker.
-
-// Package worker models a worker: it attends at an entry, runs tasks under its
-// lease, checkpoints, and goes wrong as it is told. It keeps the worker's side
-// of the promise that a task never runs in two places: no unit of work begins
-// without a lease.
+// Package worker simulates a worker, which reports to an entry, runs tasks under its lease,
+// writes checkpoints, and injects faults. It starts no unit of work without a valid lease,
+// so that a task never runs in two places.
 package worker
 
 import (
@@ -24,31 +21,31 @@
 )
 
 const (
-	// reportTimeout is how long a report may go unanswered before the worker
-	// attends at another entry.
+	// reportTimeout is how long a report may remain unanswered before the worker
+	// reconnects to another entry.
 	reportTimeout  = time.Second
 	reconnectPause = 50 * time.Millisecond
-	// checkpointInterval is how many units lie between checkpoints.
+	// checkpointInterval is the number of units between checkpoints.
 	checkpointInterval = 5
 	defaultUnits       = 10
 )
 
 type (
-	// Options describe one worker.
+	// Options configures a worker.
 	Options struct {
 		Worker *wire.Worker
-		// Balancer is shared by the workers of a process.
+		// Balancer is shared by all workers of a process.
 		Balancer       *front.Balancer
 		ReportInterval time.Duration
-		// UnitTime is how long one unit of work takes.
+		// UnitTime is the duration of a unit of work.
 		UnitTime time.Duration
-		// UsageLag is how old the reported usage is.
+		// UsageLag is the age of reported resource usage.
 		UsageLag time.Duration
 		// FailEverything makes every task fail at its first unit.
 		FailEverything bool
-		// SizeFactor multiplies the units that a payload declares.
+		// SizeFactor multiplies the number of units that a payload declares.
 		SizeFactor float64
-		// NoisePeriod slows every second half of it by NoiseFactor.
+		// NoiseFactor multiplies UnitTime during the second half of each NoisePeriod.
 		NoisePeriod time.Duration
 		NoiseFactor float64
 		Journal     *front.Journal
@@ -63,7 +60,7 @@
 		finalReport   *wire.TaskReport
 	}
 
-	// Worker is one running worker.
+	// Worker is a running worker.
 	Worker struct {
 		options   Options
 		startedAt time.Time
@@ -78,8 +75,7 @@
 	}
 )
 
-// Run attends and works until the context ends. Tasks running then are lost,
-// as with a kill.
+// Run reports and executes tasks until ctx is done. Tasks that are running then are lost.
 func Run(ctx context.Context, options Options) error {
 	options.Worker.Incarnation = strconv.FormatUint(rand.Uint64(), 36)
 	w := &Worker{options: options, startedAt: time.Now(), tasks: map[string]*task{}, reportSentAt: map[uint64]time.Time{}}
@@ -98,7 +94,7 @@
 	return nil
 }
 
-// attend reports at one entry until it fails or goes silent.
+// stream sends reports to one entry until the stream fails or the entry stops answering.
 func (w *Worker) stream(ctx context.Context, conn *grpc.ClientConn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -161,13 +157,13 @@
 	return r
 }
 
-// hear takes an answer. The lease runs from when the answered report was sent, and with
-// it the answer's orders to start.
+// handleResponse processes an answer. The lease, and with it the answer's start orders, is
+// valid from the time at which the answered report was sent.
 func (w *Worker) handleResponse(a *wire.AttendResponse) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if a.Term < w.term {
-		return // a leader that has been replaced
+		return // sent by a former leader
 	}
 	w.term = a.Term
 	w.lastAnswerAt = time.Now()
@@ -209,7 +205,7 @@
 	}
 }
 
-// watchLease drops running tasks when the lease runs out.
+// watchLease drops all running tasks when the lease expires.
 func (w *Worker) watchLease(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.mu.Lock()
@@ -226,13 +222,13 @@
 	}
 }
 
-// run works on a task unit by unit while the worker holds it and has a lease.
+// run executes a task unit by unit until it ends, is dropped, or the lease expires.
 func (w *Worker) run(t *task) {
 	w.options.Journal.Add("start", t.order.JobId, t.order.Attempt, t.unitsDone)
 	units := w.units(t.order.Spec.GetPayload())
 	for {
-		end, held := w.nextUnit(t, units)
-		if !held {
+		end, mayRun := w.nextUnit(t, units)
+		if !mayRun {
 			return
 		}
 		if end != nil {
@@ -243,9 +239,9 @@
 	}
 }
 
-// next begins the next unit, or tells how the task ended. Held is false once
-// the worker may not go on.
-func (w *Worker) nextUnit(t *task, units uint64) (end *wire.TaskReport, held bool) {
+// nextUnit starts the next unit, or returns the final report if the task has ended. MayRun is
+// false if the worker may no longer run the task.
+func (w *Worker) nextUnit(t *task, units uint64) (end *wire.TaskReport, mayRun bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.tasks[t.order.JobId] != t || !time.Now().Before(w.leaseEnd) {
@@ -278,7 +274,7 @@
 	w.options.Journal.Add(kind, r.JobId, r.Attempt, t.unitsDone)
 }
 
-// units reads "units=N" from a payload.
+// units parses the number of units from a payload of the form "units=N".
 func (w *Worker) units(payload []byte) uint64 {
 	units := uint64(defaultUnits)
 	if text, ok := strings.CutPrefix(string(payload), "units="); ok {
