--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
-# Everything that builds, tests and shows sycamoredeck. Tools are installed into .tools by
-# their pinned versions; nothing else is needed but Go, a C compiler and make.
+# Builds, tests and demonstrates sycamoredeck. Requires Go, a C compiler and make; other
+# tools are installed into .tools at pinned versions.
 TOOLS := $(CURDIR)/.tools
 BUF_VERSION := v1.75.0
 PROTOC_GEN_GO_VERSION := v1.36.12
@@ -16,11 +16,11 @@
 build:
 	go build -o bin/ ./cmd/...
 
-# The main job: the whole system on this machine, with real calls, jobs and kills.
+# Runs the whole system on this machine, with calls, jobs and killed processes.
 demo: build
 	./scripts/demo.sh
 
-# What CI runs: formatter, linter, vet, and all tests under the race detector.
+# Runs what CI runs: formatter, linter, vet, and all tests under the race detector.
 test: build lint vet unit
 
 unit:
@@ -36,7 +36,7 @@
 format: $(TOOLS)/golangci-lint-$(GOLANGCI_LINT_VERSION)
 	$(TOOLS)/golangci-lint-$(GOLANGCI_LINT_VERSION) fmt
 
-# Feeds arbitrary bytes to the decoders for a while; CI reads damaged messages of one seed.
+# Fuzzes the decoders. CI runs TestDamagedMessages with a fixed seed instead.
 FUZZ_TIME ?= 30s
 fuzz:
 	go test ./platform -run '^$$' -fuzz FuzzDecoders -fuzztime $(FUZZ_TIME)
@@ -44,7 +44,7 @@
 bench:
 	go test -run '^$$' -bench . -benchmem ./internal/...
 
-# Reproduces the generated code byte for byte.
+# Regenerates the code from the schema.
 generate: $(TOOLS)/buf-$(BUF_VERSION) $(TOOLS)/protoc-gen-go-$(PROTOC_GEN_GO_VERSION) $(TOOLS)/protoc-gen-go-grpc-$(PROTOC_GEN_GO_GRPC_VERSION)
 	ln -sf protoc-gen-go-$(PROTOC_GEN_GO_VERSION) $(TOOLS)/protoc-gen-go
 	ln -sf protoc-gen-go-grpc-$(PROTOC_GEN_GO_GRPC_VERSION) $(TOOLS)/protoc-gen-go-grpc
@@ -52,7 +52,7 @@
 	$(TOOLS)/buf-$(BUF_VERSION) lint
 	$(TOOLS)/buf-$(BUF_VERSION) generate
 
-# Fails where the committed code isn't what the schema gives.
+# Fails if the committed generated code is out of date.
 generate-check: generate
 	git diff --exit-code -- proto internal/schema
 
