--- a/internal/itest/cluster_test.go
+++ b/internal/itest/cluster_test.go
@@ -269,10 +269,10 @@
 }
 
 // waitFor waits until a condition holds.
-func (c *cluster) waitFor(what string, holds func() bool) {
+func (c *cluster) waitFor(what string, condition func() bool) {
 	c.t.Helper()
 	end := time.Now().Add(waitTimeout)
-	for !holds() {
+	for !condition() {
 		if time.Now().After(end) {
 			c.t.Fatalf("timed out waiting until %s", what)
 		}
--- a/internal/itest/proxy_test.go
+++ b/internal/itest/proxy_test.go
@@ -106,9 +106,9 @@
 	time.Sleep(delay)
 	for {
 		m.mu.Lock()
-		held := p.blackholed || m.blocked[[2]string{p.source, p.target}]
+		blocked := p.blackholed || m.blocked[[2]string{p.source, p.target}]
 		m.mu.Unlock()
-		if !held {
+		if !blocked {
 			return
 		}
 		time.Sleep(blockPollInterval)
--- a/internal/model/audit/audit.go
+++ b/internal/model/audit/audit.go
@@ -107,7 +107,7 @@
 		case "unit":
 			if e.Attempt < latest {
 				f.Overlaps++
-				f.addExample("job %s: attempt %d on %s did unit %d after attempt %d had begun", id, e.Attempt, e.Source, e.Unit, latest)
+				f.addExample("job %s: attempt %d on %s executed unit %d after attempt %d had started", id, e.Attempt, e.Source, e.Unit, latest)
 			}
 			if by := done[e.Unit]; by != 0 && by != e.Attempt {
 				f.UnitsRepeated++
@@ -142,7 +142,7 @@
 	}
 	if notRun && runs > 0 {
 		f.NotRunButRan++
-		f.addExample("request %s: ran, and its caller was told not run", id)
+		f.addExample("request %s: executed, but reported as not run", id)
 	}
 }
 
