--- a/internal/model/audit/audit.go
+++ b/internal/model/audit/audit.go
@@ -1,9 +1,7 @@
-// This file defines Check, which finds broken promises in journals.
-
-// Package audit reads the journals of model workers and servers and finds what
-// must not have happened: a task in two places, a unit of work done twice
-// without need, a request run twice, or one run that its caller was told was
-// not.
+// Package audit checks the journals of simulated workers, servers and callers for
+// violations of the system's guarantees: a task in two places, a unit of work repeated
+// needlessly, a request executed twice, or one executed although its caller was told
+// otherwise.
 package audit
 
 import (
@@ -16,39 +14,39 @@
 	"sycamoredeck.example/internal/model/front"
 )
 
-// maxLine is the longest journal line read.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a journal line.
+const maxLineBytes = 1 << 20
 
 type (
-	// Findings are counts of broken promises, and the first few in words.
+	// Findings counts violations and describes the first few.
 	Findings struct {
 		Tasks, Finished, Requests int
-		// Overlaps: an attempt went on after a later one had begun.
+		// Overlaps counts units done by an attempt after a later attempt had started.
 		Overlaps int
-		// FinishedTwice: a job was finished by more than one attempt.
+		// FinishedTwice counts jobs that were finished by more than one attempt.
 		FinishedTwice int
-		// RunTwice: a non-idempotent request ran more than once.
+		// RunTwice counts non-idempotent requests that were executed more than once.
 		RunTwice int
-		// NotRunButRan: the caller was told not run, and it ran.
+		// NotRunButRan counts executed requests whose callers were told "not run".
 		NotRunButRan int
-		// UnitsRepeated: units done by more than one attempt. That is no
-		// broken promise where a worker was lost between checkpoints, and is
-		// one where work was stopped by order.
+		// UnitsRepeated counts units done by more than one attempt. They are expected
+		// when a worker is lost between checkpoints, and a violation when the attempt
+		// was stopped by an order.
 		UnitsRepeated int
 		Examples      []string
 	}
 
-	history struct {
+	eventHistory struct {
 		events []front.Event
 	}
 )
 
-// Broken is the number of broken promises.
+// Violations returns the number of violations, without UnitsRepeated.
 func (f *Findings) Violations() int {
 	return f.Overlaps + f.FinishedTwice + f.RunTwice + f.NotRunButRan
 }
 
-// Read reads journal files. A last line that a kill cut off is passed over.
+// Read reads journal files and sorts the events by time. It skips incomplete lines.
 func Read(paths []string) ([]front.Event, error) {
 	var events []front.Event
 	for _, path := range paths {
@@ -57,7 +55,7 @@
 			return nil, err
 		}
 		scanner := bufio.NewScanner(file)
-		scanner.Buffer(nil, maxLine)
+		scanner.Buffer(nil, maxLineBytes)
 		for scanner.Scan() {
 			var e front.Event
 			if json.Unmarshal(scanner.Bytes(), &e) == nil {
@@ -73,24 +71,24 @@
 	return events, nil
 }
 
-// Check looks through events in the order of time. Once tells whether a
-// request id is of one that must not run twice.
+// Check checks events in the order of their times. Once reports whether the request with
+// an id must not be executed twice.
 func Check(events []front.Event, once func(id string) bool) *Findings {
 	f := &Findings{}
-	tasks, requests := map[string]*history{}, map[string]*history{}
+	tasks, requests := map[string]*eventHistory{}, map[string]*eventHistory{}
 	for _, e := range events {
 		group := tasks
 		if e.Attempt == 0 {
 			group = requests
 		}
 		if group[e.ID] == nil {
-			group[e.ID] = &history{}
+			group[e.ID] = &eventHistory{}
 		}
 		group[e.ID].events = append(group[e.ID].events, e)
 	}
 	f.Tasks, f.Requests = len(tasks), len(requests)
 	for id, h := range tasks {
-		f.checkTask(id, h)
+		f.checkJob(id, h)
 	}
 	for id, h := range requests {
 		f.checkRequest(id, h, once(id))
@@ -98,7 +96,7 @@
 	return f
 }
 
-func (f *Findings) checkTask(id string, h *history) {
+func (f *Findings) checkJob(id string, h *eventHistory) {
 	var latest uint32
 	finished := map[uint32]bool{}
 	done := map[uint64]uint32{}
@@ -109,7 +107,7 @@
 		case "unit":
 			if e.Attempt < latest {
 				f.Overlaps++
-				f.example("job %s: attempt %d on %s did unit %d after attempt %d had begun", id, e.Attempt, e.Source, e.Unit, latest)
+				f.addExample("job %s: attempt %d on %s executed unit %d after attempt %d had started", id, e.Attempt, e.Source, e.Unit, latest)
 			}
 			if by := done[e.Unit]; by != 0 && by != e.Attempt {
 				f.UnitsRepeated++
@@ -124,11 +122,11 @@
 	}
 	if len(finished) > 1 {
 		f.FinishedTwice++
-		f.example("job %s: finished by %d attempts", id, len(finished))
+		f.addExample("job %s: finished by %d attempts", id, len(finished))
 	}
 }
 
-func (f *Findings) checkRequest(id string, h *history, once bool) {
+func (f *Findings) checkRequest(id string, h *eventHistory, once bool) {
 	runs, notRun := 0, false
 	for _, e := range h.events {
 		switch e.Kind {
@@ -140,15 +138,15 @@
 	}
 	if once && runs > 1 {
 		f.RunTwice++
-		f.example("request %s: ran %d times", id, runs)
+		f.addExample("request %s: ran %d times", id, runs)
 	}
 	if notRun && runs > 0 {
 		f.NotRunButRan++
-		f.example("request %s: ran, and its caller was told not run", id)
+		f.addExample("request %s: executed, but reported as not run", id)
 	}
 }
 
-func (f *Findings) example(format string, args ...any) {
+func (f *Findings) addExample(format string, args ...any) {
 	if len(f.Examples) < 10 {
 		f.Examples = append(f.Examples, fmt.Sprintf(format, args...))
 	}
--- a/internal/model/caller/caller.go
+++ b/internal/model/caller/caller.go
@@ -1,8 +1,6 @@
-// This file defines Run, a model of callers under an open-loop load.
-
-// Package caller models callers: requests arrive by their own clock, whether
-// or not earlier ones are answered, and latency counts from when a request was
-// due, so that a stall shows in full (no coordinated omission).
+// Package caller simulates callers under an open-loop load: requests are sent on schedule,
+// whether or not earlier ones have been answered, and latency is measured from the
+// scheduled time (no coordinated omission).
 package caller
 
 import (
@@ -27,24 +25,24 @@
 )
 
 const (
-	maxRecorded = int64(10 * time.Minute / time.Microsecond)
-	digits      = 3
-	// maxReasons bounds the reasons told apart.
+	maxLatencyMicros  = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
+	// maxReasons limits the number of distinct reasons in a report.
 	maxReasons = 20
-	// spinRate is the rate from which the pacing is exact, at the cost of a
-	// processor.
-	spinRate = 500
-	// maxOutstanding bounds the requests waiting at once.
+	// exactPacingRate is the rate in requests per second from which requests are sent at
+	// their exact time by busy waiting.
+	exactPacingRate = 500
+	// maxOutstanding limits the number of requests in flight.
 	maxOutstanding = 20000
 )
 
 type (
-	// Options describe one load.
+	// Options describes the load.
 	Options struct {
 		Entries          []string
 		ClientAccount    string
 		Service          string
-		Rate             float64 // requests a second
+		Rate             float64 // requests per second
 		Duration         time.Duration
 		Timeout          time.Duration
 		PayloadBytes     int
@@ -54,19 +52,19 @@
 		FollowRetryAfter bool
 		MaxRetries       int
 		Journal          *front.Journal
-		// Connections is how many connections each entry gets; 1 when 0.
+		// Connections is the number of connections to each entry; 0 means 1.
 		Connections int
-		// Direct is a backend server's address to call without an entry, as
-		// the baseline that an entry's cost is measured against.
+		// Direct is the address of a backend server to call without an entry, as a
+		// baseline for measuring the overhead of entries.
 		Direct string
 	}
 
-	// Report is what callers saw. Latencies are of completed requests.
+	// Report summarizes the outcomes. Latencies are those of completed requests.
 	Report struct {
 		Sent, Completed, NotRun, Unknown, Failed, Wrong, Skipped int64
-		// Reasons counts why requests weren't run or ended as unknown.
+		// Reasons counts the reasons for the outcomes "not run" and "unknown".
 		Reasons map[string]int64
-		// Errors holds the first few failures.
+		// Errors holds the first few errors.
 		Errors                      []string
 		Attempts, Returns           int64
 		Seconds, CompletedPerSecond float64
@@ -88,11 +86,11 @@
 	}
 )
 
-// Run sends the load and waits for all answers.
+// Run generates the load and waits for all responses.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	r := &run{
 		options: options, payload: bytes.Repeat([]byte("x"), options.PayloadBytes),
-		latency: hdrhistogram.New(1, maxRecorded, digits), notRun: hdrhistogram.New(1, maxRecorded, digits),
+		latency: hdrhistogram.New(1, maxLatencyMicros, significantDigits), notRun: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
 	}
 	if options.Direct != "" {
 		r.direct = &fasthttp.HostClient{Addr: options.Direct, MaxConns: maxOutstanding}
@@ -101,15 +99,15 @@
 	}
 	defer r.close()
 	began := time.Now()
-	r.load(ctx, began)
+	r.sendAll(ctx, began)
 	r.report.Seconds = time.Since(began).Seconds()
-	return r.result(), nil
+	return r.summarize(), nil
 }
 
-// await waits until a moment. The runtime's timers are a millisecond coarse,
-// which would send a fast load in bursts, so the last stretch is spun.
-func (r *run) await(due time.Time) {
-	if r.options.Rate < spinRate {
+// waitUntil sleeps until due. At high rates it spins for the last two milliseconds, since
+// the resolution of timers would turn the load into bursts.
+func (r *run) waitUntil(due time.Time) {
+	if r.options.Rate < exactPacingRate {
 		time.Sleep(time.Until(due))
 		return
 	}
@@ -139,45 +137,45 @@
 	}
 }
 
-// load sends requests at exponentially spread moments (a Poisson process).
-func (r *run) load(ctx context.Context, began time.Time) {
+// sendAll sends requests with exponentially distributed intervals (a Poisson process).
+func (r *run) sendAll(ctx context.Context, began time.Time) {
 	random := rand.New(rand.NewPCG(r.options.Seed, 2))
 	var group sync.WaitGroup
 	tokens := make(chan struct{}, maxOutstanding)
 	due := began
 	for i := 0; due.Sub(began) < r.options.Duration && ctx.Err() == nil; i++ {
-		r.await(due)
+		r.waitUntil(due)
 		idempotent := random.Float64() < r.options.IdempotentShare
 		select {
 		case tokens <- struct{}{}:
 			at, id := due, fmt.Sprintf("%s-%d", r.options.Prefix, i)
 			group.Go(func() {
 				defer func() { <-tokens }()
-				r.one(ctx, id, idempotent, at)
+				r.sendWithRetries(ctx, id, idempotent, at)
 			})
 		default:
-			r.count(func(s *Report) { s.Skipped++ })
+			r.update(func(s *Report) { s.Skipped++ })
 		}
 		due = due.Add(time.Duration(random.ExpFloat64() / r.options.Rate * float64(time.Second)))
 	}
 	group.Wait()
 }
 
-// one sends a request and, when told that it was not run, returns as told.
-func (r *run) one(ctx context.Context, id string, idempotent bool, due time.Time) {
-	r.count(func(s *Report) { s.Sent++ })
-	for returns := 0; ; returns++ {
+// sendWithRetries sends a request, and retries it after "not run" if configured.
+func (r *run) sendWithRetries(ctx context.Context, id string, idempotent bool, due time.Time) {
+	r.update(func(s *Report) { s.Sent++ })
+	for retries := 0; ; retries++ {
 		response, err := r.send(ctx, id, idempotent)
 		if err != nil {
-			r.fail(err, idempotent)
+			r.recordError(err, idempotent)
 			return
 		}
-		if response.Outcome == wire.Outcome_OUTCOME_NOT_RUN && r.options.FollowRetryAfter && returns < r.options.MaxRetries {
-			r.count(func(s *Report) { s.Returns++ })
+		if response.Outcome == wire.Outcome_OUTCOME_NOT_RUN && r.options.FollowRetryAfter && retries < r.options.MaxRetries {
+			r.update(func(s *Report) { s.Returns++ })
 			time.Sleep(response.RetryAfter.AsDuration())
 			continue
 		}
-		r.note(id, response, time.Since(due))
+		r.recordResponse(id, response, time.Since(due))
 		return
 	}
 }
@@ -199,8 +197,7 @@
 			return nil, err
 		}
 		response, err := wire.NewCallerServiceClient(conn).Call(ctx, request)
-		// An entry that died under an idempotent request is no reason to give
-		// it up: another entry takes it.
+		// Idempotent requests that fail with their entry are sent to another one.
 		if status.Code(err) == codes.Unavailable && idempotent && ctx.Err() == nil {
 			time.Sleep(10 * time.Millisecond)
 			continue
@@ -209,7 +206,7 @@
 	}
 }
 
-// sendDirect calls the backend server as an entry would.
+// sendDirect calls the backend server in the same way as an entry.
 func (r *run) sendDirect(id string) (*wire.CallResponse, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -227,10 +224,10 @@
 	}, nil
 }
 
-func (r *run) fail(err error, idempotent bool) {
-	r.count(func(s *Report) {
+func (r *run) recordError(err error, idempotent bool) {
+	r.update(func(s *Report) {
 		if !idempotent && status.Code(err) == codes.Unavailable {
-			s.Unknown++ // the entry died under it; only its record knows
+			s.Unknown++ // the entry failed, and the outcome is known to its record only
 			return
 		}
 		s.Failed++
@@ -240,7 +237,7 @@
 	})
 }
 
-func (r *run) note(id string, response *wire.CallResponse, latency time.Duration) {
+func (r *run) recordResponse(id string, response *wire.CallResponse, latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Attempts += int64(response.Attempts)
@@ -248,24 +245,24 @@
 	switch response.Outcome {
 	case wire.Outcome_OUTCOME_COMPLETED:
 		r.report.Completed++
-		_ = r.latency.RecordValue(min(us, maxRecorded))
+		_ = r.latency.RecordValue(min(us, maxLatencyMicros))
 		if response.RequestId != id || !bytes.Equal(response.Payload, server.ResponseBody(id, r.payload)) {
 			r.report.Wrong++
 		}
 		r.options.Journal.Add("completed", id, 0, 0)
 	case wire.Outcome_OUTCOME_NOT_RUN:
 		r.report.NotRun++
-		r.reason(response.Reason)
-		_ = r.notRun.RecordValue(min(us, maxRecorded))
+		r.countReason(response.Reason)
+		_ = r.notRun.RecordValue(min(us, maxLatencyMicros))
 		r.options.Journal.Add("not-run", id, 0, 0)
 	default:
 		r.report.Unknown++
-		r.reason(response.Reason)
+		r.countReason(response.Reason)
 		r.options.Journal.Add("unknown", id, 0, 0)
 	}
 }
 
-func (r *run) reason(text string) {
+func (r *run) countReason(text string) {
 	if r.report.Reasons == nil {
 		r.report.Reasons = map[string]int64{}
 	}
@@ -274,13 +271,13 @@
 	}
 }
 
-func (r *run) count(f func(*Report)) {
+func (r *run) update(f func(*Report)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.report)
 }
 
-func (r *run) result() *Report {
+func (r *run) summarize() *Report {
 	s := r.report
 	s.CompletedPerSecond = float64(s.Completed) / s.Seconds
 	s.P50Us, s.P90Us = r.latency.ValueAtQuantile(50), r.latency.ValueAtQuantile(90)
--- a/internal/model/front/balancer.go
+++ b/internal/model/front/balancer.go
@@ -1,7 +1,5 @@
-// This file defines Balancer, a model of the platform's balancer.
-
-// Package front models the platform's balancer: callers, backend servers and
-// workers reach the entries through it and know none by name.
+// Package front simulates the platform's load balancer, through which callers, backend
+// servers and workers reach the entries.
 package front
 
 import (
@@ -24,23 +22,23 @@
 	checkTimeout  = 500 * time.Millisecond
 )
 
-// ErrNoReadyEntry says that no entry is ready.
+// ErrNoReadyEntry is returned when no entry is ready.
 var ErrNoReadyEntry = errors.New("no entry is ready")
 
-type target struct {
+type entry struct {
 	address string
 	conn    *grpc.ClientConn
 	ready   bool
 }
 
-// Balancer gives connections to entries that say they are ready.
+// Balancer provides connections to ready entries.
 type Balancer struct {
 	mu      sync.Mutex
-	targets []*target
+	entries []*entry
 	cancel  context.CancelFunc
 }
 
-// New starts checking the addresses.
+// New returns a balancer and starts health checks of the addresses.
 func New(addresses []string) (*Balancer, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	b := &Balancer{cancel: cancel}
@@ -50,9 +48,9 @@
 			cancel()
 			return nil, err
 		}
-		t := &target{address: a, conn: conn}
-		b.targets = append(b.targets, t)
-		go b.check(ctx, t)
+		t := &entry{address: a, conn: conn}
+		b.entries = append(b.entries, t)
+		go b.checkHealth(ctx, t)
 	}
 	return b, nil
 }
@@ -67,12 +65,12 @@
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(link.MaxMessageBytes)))
 }
 
-// check asks one entry again and again. After a check without answer it takes
-// a new connection, as a balancer does.
-func (b *Balancer) check(ctx context.Context, t *target) {
+// checkHealth checks one entry periodically, and replaces its connection after a check
+// that timed out.
+func (b *Balancer) checkHealth(ctx context.Context, t *entry) {
 	for ctx.Err() == nil {
 		limited, cancel := context.WithTimeout(ctx, checkTimeout)
-		r, err := healthpb.NewHealthClient(b.connOf(t)).Check(limited, &healthpb.HealthCheckRequest{Service: link.ReadyService})
+		r, err := healthpb.NewHealthClient(b.connTo(t)).Check(limited, &healthpb.HealthCheckRequest{Service: link.ReadyService})
 		timedOut := limited.Err() != nil
 		cancel()
 		b.mu.Lock()
@@ -88,13 +86,13 @@
 	}
 }
 
-func (b *Balancer) connOf(t *target) *grpc.ClientConn {
+func (b *Balancer) connTo(t *entry) *grpc.ClientConn {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return t.conn
 }
 
-func (b *Balancer) redial(t *target) {
+func (b *Balancer) redial(t *entry) {
 	conn, err := dial(t.address)
 	if err != nil {
 		return
@@ -106,12 +104,12 @@
 	old.Close()
 }
 
-// Pick returns a connection to a random ready entry.
+// Pick returns a connection to a random ready entry, or ErrNoReadyEntry.
 func (b *Balancer) Pick() (*grpc.ClientConn, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var ready []*target
-	for _, t := range b.targets {
+	var ready []*entry
+	for _, t := range b.entries {
 		if t.ready {
 			ready = append(ready, t)
 		}
@@ -122,7 +120,7 @@
 	return ready[rand.IntN(len(ready))].conn, nil
 }
 
-// Wait waits until an entry is ready.
+// Wait returns a connection to a ready entry as soon as there is one.
 func (b *Balancer) Wait(ctx context.Context) (*grpc.ClientConn, error) {
 	for {
 		conn, err := b.Pick()
@@ -137,12 +135,12 @@
 	}
 }
 
-// Close ends the checks and all connections.
+// Close stops the health checks and closes all connections.
 func (b *Balancer) Close() {
 	b.cancel()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, t := range b.targets {
+	for _, t := range b.entries {
 		t.conn.Close()
 	}
 }
--- a/internal/model/server/announce.go
+++ b/internal/model/server/announce.go
@@ -1,4 +1,4 @@
-// This file defines how the model announces itself.
+// This file implements the announcements to entries.
 
 package server
 
@@ -17,11 +17,11 @@
 const (
 	announceInterval = 500 * time.Millisecond
 	announceTimeout  = time.Second
-	// leavePoll is how soon leaving is announced.
-	leavePoll = 20 * time.Millisecond
+	// leavePollInterval is the delay at most before leaving is announced.
+	leavePollInterval = 20 * time.Millisecond
 )
 
-var errSilent = errors.New("the entry doesn't answer")
+var errNoAnswer = errors.New("the entry doesn't answer")
 
 func (s *Server) announce(ctx context.Context) {
 	balancer, err := front.New(s.options.Entries)
@@ -31,12 +31,12 @@
 	defer balancer.Close()
 	for ctx.Err() == nil {
 		if conn, err := balancer.Wait(ctx); err == nil {
-			// Any end of the stream has the same remedy: the next entry.
+			// After any error, announce to the next ready entry.
 			_ = s.announceAt(ctx, conn)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(leavePoll):
+		case <-time.After(leavePollInterval):
 		}
 	}
 }
@@ -71,16 +71,16 @@
 				return err
 			}
 		case <-time.After(announceTimeout):
-			return errSilent
+			return errNoAnswer
 		}
-		s.pause(ctx, leaving)
+		s.waitNextAnnouncement(ctx, leaving)
 	}
 }
 
-// pause waits for the next announcement, which leaving makes due at once.
-func (s *Server) pause(ctx context.Context, leaving bool) {
+// waitNextAnnouncement waits until the next announcement is due, or the server leaves.
+func (s *Server) waitNextAnnouncement(ctx context.Context, leaving bool) {
 	until := time.Now().Add(announceInterval)
 	for time.Now().Before(until) && ctx.Err() == nil && s.leaving.Load() == leaving {
-		time.Sleep(leavePoll)
+		time.Sleep(leavePollInterval)
 	}
 }
--- a/internal/model/server/server.go
+++ b/internal/model/server/server.go
@@ -1,7 +1,5 @@
-// This file defines Server, a model of a backend server.
-
-// Package server models a backend server: it announces itself, answers
-// HTTP/1.1 requests in its slots, and goes wrong as it is told.
+// Package server simulates a backend server, which announces itself to entries, serves
+// HTTP/1.1 requests in its slots, and injects faults.
 package server
 
 import (
@@ -22,55 +20,56 @@
 )
 
 type (
-	// Faults is how a server goes wrong. The zero value is sound.
+	// Faults describes the injected faults. The zero value injects none.
 	Faults struct {
-		// Slow multiplies the service time; 0 is 1.
+		// Slow multiplies the service time; 0 means 1.
 		Slow float64
-		// NoisePeriod and NoiseFactor multiply the service time by the factor
-		// in every second half of the period.
+		// NoiseFactor multiplies the service time during the second half of each
+		// NoisePeriod.
 		NoisePeriod time.Duration
 		NoiseFactor float64
-		// The parts of the requests that are refused, never answered, cut
-		// short, or answered under another request's id.
+		// Shares of requests that are refused, never answered, answered with a
+		// truncated body, or answered under another id.
 		Refuse, Hang, Short, Mismatch float64
 	}
 
-	// Options describe one server.
+	// Options configures a server.
 	Options struct {
 		Announcement *wire.Announcement
 		Entries      []string
 		Listen       string
-		// ServiceTime is the mean of an exponential part and a fixed half.
+		// ServiceTime is the mean service time, of which one half is constant and one
+		// half exponentially distributed.
 		ServiceTime time.Duration
-		// Delay is added once on the way here and once on the way back.
+		// Delay is the simulated network delay in each direction.
 		Delay   time.Duration
 		Faults  Faults
 		Journal *front.Journal
 		Seed    uint64
 	}
 
-	// Stats is what a server has seen.
+	// Stats counts what a server has observed.
 	Stats struct {
 		Served, Refused, Hung, AfterLeaving int64
 		MaxInFlight, MaxConnections         int64
 	}
 
-	// Server is one running backend server.
+	// Server is a running backend server.
 	Server struct {
-		options  Options
-		began    time.Time
-		leaving  atomic.Bool
-		leftAt   atomic.Int64
-		inFlight atomic.Int64
-		open     atomic.Int64
-		stats    struct{ served, refused, hung, late, maxInFlight, maxOpen atomic.Int64 }
-		mu       sync.Mutex
-		random   *rand.Rand
-		http     *fasthttp.Server
+		options         Options
+		startedAt       time.Time
+		leaving         atomic.Bool
+		leavingSince    atomic.Int64
+		inFlight        atomic.Int64
+		openConnections atomic.Int64
+		stats           struct{ served, refused, hung, late, maxInFlight, maxOpen atomic.Int64 }
+		mu              sync.Mutex
+		random          *rand.Rand
+		http            *fasthttp.Server
 	}
 )
 
-// With returns the sums of two, and the larger of each maximum.
+// Add returns the sums of the counters and the larger of each maximum.
 func (s Stats) Add(o Stats) Stats {
 	return Stats{
 		Served: s.Served + o.Served, Refused: s.Refused + o.Refused, Hung: s.Hung + o.Hung,
@@ -79,13 +78,13 @@
 	}
 }
 
-// lateAfter is how long after its leaving was announced a server may still be
-// sent new work; "a few seconds" by the brief.
-const lateAfter = 3 * time.Second
+// leavingGrace is how long a server may receive new requests after it has announced that
+// it is leaving.
+const leavingGrace = 3 * time.Second
 
-// Run serves until the context ends, leaves, and gives what it has seen.
+// Run serves until ctx is done, leaves, and returns the statistics.
 func Run(ctx context.Context, options Options, leaveTime time.Duration) (Stats, error) {
-	s := &Server{options: options, began: time.Now(), random: rand.New(rand.NewPCG(options.Seed, 1))}
+	s := &Server{options: options, startedAt: time.Now(), random: rand.New(rand.NewPCG(options.Seed, 1))}
 	listener, err := net.Listen("tcp", options.Listen)
 	if err != nil {
 		return Stats{}, err
@@ -99,7 +98,7 @@
 	defer cancel()
 	go s.announce(announcing)
 	<-ctx.Done()
-	s.leftAt.Store(time.Now().UnixNano())
+	s.leavingSince.Store(time.Now().UnixNano())
 	s.leaving.Store(true)
 	time.Sleep(leaveTime)
 	cancel()
@@ -119,14 +118,14 @@
 func (s *Server) countConnections(_ net.Conn, state fasthttp.ConnState) {
 	switch state {
 	case fasthttp.StateNew:
-		raise(&s.stats.maxOpen, s.open.Add(1))
+		storeMax(&s.stats.maxOpen, s.openConnections.Add(1))
 	case fasthttp.StateClosed, fasthttp.StateHijacked:
-		s.open.Add(-1)
+		s.openConnections.Add(-1)
 	default:
 	}
 }
 
-func raise(top *atomic.Int64, value int64) {
+func storeMax(top *atomic.Int64, value int64) {
 	for {
 		old := top.Load()
 		if value <= old || top.CompareAndSwap(old, value) {
@@ -140,36 +139,36 @@
 	c.Response.Header.Set(route.HeaderRequestID, id)
 	if s.leaving.Load() {
 		c.Response.Header.Set(route.HeaderLeaving, "1")
-		if time.Since(time.Unix(0, s.leftAt.Load())) > lateAfter {
+		if time.Since(time.Unix(0, s.leavingSince.Load())) > leavingGrace {
 			s.stats.late.Add(1)
 		}
 	}
 	inFlight := s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
-	raise(&s.stats.maxInFlight, inFlight)
-	if inFlight > int64(s.options.Announcement.Slots) || s.chance(s.options.Faults.Refuse) {
+	storeMax(&s.stats.maxInFlight, inFlight)
+	if inFlight > int64(s.options.Announcement.Slots) || s.draw(s.options.Faults.Refuse) {
 		s.stats.refused.Add(1)
 		c.Response.Header.Set(route.HeaderNotRun, "1")
 		c.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
-	s.work(c, id)
+	s.execute(c, id)
 }
 
-func (s *Server) work(c *fasthttp.RequestCtx, id string) {
+func (s *Server) execute(c *fasthttp.RequestCtx, id string) {
 	s.options.Journal.Add("run", id, 0, 0)
-	if s.chance(s.options.Faults.Hang) {
+	if s.draw(s.options.Faults.Hang) {
 		s.stats.hung.Add(1)
 		time.Sleep(time.Minute)
 	}
 	time.Sleep(s.serviceTime() + 2*s.options.Delay)
 	s.stats.served.Add(1)
 	body := ResponseBody(id, c.Request.Body())
-	if s.chance(s.options.Faults.Mismatch) {
+	if s.draw(s.options.Faults.Mismatch) {
 		c.Response.Header.Set(route.HeaderRequestID, id+"-other")
 	}
-	if s.chance(s.options.Faults.Short) {
-		// Announces the whole length and breaks off in the middle.
+	if s.draw(s.options.Faults.Short) {
+		// Sends only half of the announced content length.
 		c.SetBodyStream(io.LimitReader(bytes.NewReader(body), int64(len(body)/2)), len(body))
 		c.SetConnectionClose()
 		return
@@ -177,7 +176,7 @@
 	c.SetBody(body)
 }
 
-// Answer is the whole answer to a request, which callers check.
+// ResponseBody returns the expected body of a complete response.
 func ResponseBody(id string, payload []byte) []byte {
 	answer := make([]byte, 0, 2*len(id)+len(payload)+2)
 	answer = append(append(answer, id...), '|')
@@ -185,7 +184,7 @@
 	return append(answer, id...)
 }
 
-func (s *Server) chance(part float64) bool {
+func (s *Server) draw(part float64) bool {
 	if part <= 0 {
 		return false
 	}
@@ -206,7 +205,7 @@
 	if f.Slow > 0 {
 		t *= f.Slow
 	}
-	if f.NoisePeriod > 0 && time.Since(s.began)%f.NoisePeriod > f.NoisePeriod/2 {
+	if f.NoisePeriod > 0 && time.Since(s.startedAt)%f.NoisePeriod > f.NoisePeriod/2 {
 		t *= f.NoiseFactor
 	}
 	return time.Duration(t)
