--- a/internal/sched/drive/advice.go
+++ b/internal/sched/drive/advice.go
@@ -64,12 +64,12 @@
 }
 
 func (e *Engine) adviceOf(s *graph.Stage) *stageAdvice {
-	a := e.advice[s]
-	if a == nil {
-		a = &stageAdvice{asked: map[string]bool{}, tickets: map[string]ticket{}}
-		e.advice[s] = a
+	adv := e.advice[s]
+	if adv == nil {
+		adv = &stageAdvice{asked: map[string]bool{}, tickets: map[string]ticket{}}
+		e.advice[s] = adv
 	}
-	return a
+	return adv
 }
 
 // ticketFor returns a ticket that is valid long enough for a start.
@@ -79,11 +79,11 @@
 }
 
 // withTickets returns the agents with a ticket for a stage.
-func (p *pass) withTickets(s *graph.Stage, rooms []*freeResources) []*freeResources {
+func (p *pass) withTickets(s *graph.Stage, candidates []*freeResources) []*freeResources {
 	var allowed []*freeResources
-	for _, m := range rooms {
-		if _, ok := p.engine.ticketFor(s, m.agent.record.Id); ok {
-			allowed = append(allowed, m)
+	for _, free := range candidates {
+		if _, ok := p.engine.ticketFor(s, free.agent.record.Id); ok {
+			allowed = append(allowed, free)
 		}
 	}
 	return allowed
@@ -92,24 +92,24 @@
 // requestAdvice asks about agents that could run the remaining tasks of a stage and
 // weren't asked about or whose tickets have expired. The service accepts one request at a
 // time.
-func (p *pass) requestAdvice(s *graph.Stage, rooms []*freeResources) {
+func (p *pass) requestAdvice(s *graph.Stage, agents []*freeResources) {
 	e := p.engine
 	if e.advicePending || e.now < e.nextAdvice || e.options.Advise == nil {
 		return
 	}
-	a := e.adviceOf(s)
+	adv := e.adviceOf(s)
 	type candidate struct {
 		id, name string
 		cost     float64
 	}
 	var candidates []candidate
-	for _, m := range rooms {
-		id := m.agent.record.Id
-		_, allowed := a.tickets[id]
-		if _, holds := e.ticketFor(s, id); holds || (a.asked[id] && !allowed) || !m.fits(s) {
+	for _, free := range agents {
+		id := free.agent.record.Id
+		_, allowed := adv.tickets[id]
+		if _, holds := e.ticketFor(s, id); holds || (adv.asked[id] && !allowed) || !free.fits(s) {
 			continue
 		}
-		candidates = append(candidates, candidate{id, agentName(m.agent.record), p.cost(s, m)})
+		candidates = append(candidates, candidate{id, agentName(free.agent.record), p.cost(s, free)})
 	}
 	if len(candidates) == 0 {
 		return
@@ -126,27 +126,27 @@
 }
 
 // HandleAdvice processes an answer of the advice service.
-func (e *Engine) HandleAdvice(now time.Duration, a AdviceAnswer) {
+func (e *Engine) HandleAdvice(now time.Duration, ans AdviceAnswer) {
 	e.now = now
-	if a.Request.Term != e.term || e.term == 0 {
+	if ans.Request.Term != e.term || e.term == 0 {
 		return
 	}
 	e.advicePending, e.placementDirty = false, true
-	t := e.graph.FindTask(&wire.RunId{Job: a.Request.Job, Occurrence: a.Request.Occurrence, Step: a.Request.Step})
-	if !a.Answered {
+	t := e.graph.FindTask(&wire.RunId{Job: ans.Request.Job, Occurrence: ans.Request.Occurrence, Step: ans.Request.Step})
+	if !ans.Answered {
 		e.nextAdvice = now + adviceRetryInterval
-		e.options.Logger.Info("advice request failed", "job", a.Request.Job, "step", a.Request.Step, "agents", len(a.Request.Agents), "detail", a.Detail)
+		e.options.Logger.Info("advice request failed", "job", ans.Request.Job, "step", ans.Request.Step, "agents", len(ans.Request.Agents), "detail", ans.Detail)
 		return
 	}
-	e.options.Logger.Info("advice received", "job", a.Request.Job, "step", a.Request.Step, "agents", len(a.Request.Agents), "allowed", len(a.Tickets), "valid", a.ValidFor)
+	e.options.Logger.Info("advice received", "job", ans.Request.Job, "step", ans.Request.Step, "agents", len(ans.Request.Agents), "allowed", len(ans.Tickets), "valid", ans.ValidFor)
 	if t == nil {
 		return
 	}
-	known := e.adviceOf(t.Stage)
-	for i, id := range a.Request.Agents {
-		known.asked[id] = true
-		if text, allowed := a.Tickets[a.Request.Names[i]]; allowed {
-			known.tickets[id] = ticket{text, now + a.ValidFor}
+	adv := e.adviceOf(t.Stage)
+	for i, id := range ans.Request.Agents {
+		adv.asked[id] = true
+		if text, allowed := ans.Tickets[ans.Request.Names[i]]; allowed {
+			adv.tickets[id] = ticket{text, now + ans.ValidFor}
 		}
 	}
 }
--- a/internal/sched/drive/agent.go
+++ b/internal/sched/drive/agent.go
@@ -87,176 +87,176 @@
 }
 
 func (e *Engine) newAgent(registered *graph.Agent) *agent {
-	at := &agent{record: registered.Record, runs: map[*graph.Task]*run{}, answeredAt: e.now, freeStale: true, incarnation: registered.Record.Incarnation, expiryCommitted: registered.LeaseExpiry != nil}
-	e.agents[registered.Record.Id] = at
+	a := &agent{record: registered.Record, runs: map[*graph.Task]*run{}, answeredAt: e.now, freeStale: true, incarnation: registered.Record.Incarnation, expiryCommitted: registered.LeaseExpiry != nil}
+	e.agents[registered.Record.Id] = a
 	e.agentsByPool, e.sortedAgents = nil, nil
-	return at
+	return a
 }
 
 // suspected reports whether the agent may be down or disconnected.
-func (e *Engine) suspected(at *agent) bool {
-	return at.failedPolls > 0 || (at.polling && e.now > at.pollSentAt+at.pollWait+suspectAfter)
+func (e *Engine) suspected(a *agent) bool {
+	return a.failedPolls > 0 || (a.polling && e.now > a.pollSentAt+a.pollWait+suspectAfter)
 }
 
 // leaseRenewable reports whether an order may carry a deadline, which renews the lease.
-func (r *agent) leaseRenewable() bool { return r.failedPolls == 0 && !r.expiryCommitted }
+func (a *agent) leaseRenewable() bool { return a.failedPolls == 0 && !a.expiryCommitted }
 
 // schedulable reports whether new tasks may be placed on the agent.
-func (e *Engine) schedulable(at *agent) bool {
-	return at.synced && !at.expiryCommitted && !at.record.Leaving && !at.dropping && !e.suspected(at) && e.now >= at.backoffUntil && e.capacityKnown(at) && !e.drained(at)
+func (e *Engine) schedulable(a *agent) bool {
+	return a.synced && !a.expiryCommitted && !a.record.Leaving && !a.dropping && !e.suspected(a) && e.now >= a.backoffUntil && e.capacityKnown(a) && !e.drained(a)
 }
 
 // drained reports whether the agent's failure domain accepts no new tasks.
-func (e *Engine) drained(at *agent) bool { return e.graph.Drained(at.record.FailureDomain) }
+func (e *Engine) drained(a *agent) bool { return e.graph.Drained(a.record.FailureDomain) }
 
 // capacityKnown reports whether the registered capacity of an agent is current. It may
 // have shrunk while there was no leader. An agent that enforces its capacity refuses what
 // doesn't fit; any other would be overcommitted.
-func (e *Engine) capacityKnown(at *agent) bool {
-	return at.reported || e.now-e.leaderSince >= reportGracePeriod || e.enforcesCapacity(at)
+func (e *Engine) capacityKnown(a *agent) bool {
+	return a.reported || e.now-e.leaderSince >= reportGracePeriod || e.enforcesCapacity(a)
 }
 
 // enforcesCapacity reports whether the agent refuses starts that exceed its capacity.
-func (e *Engine) enforcesCapacity(at *agent) bool { return e.graph.Pool(at.record.Pool).GetGuarded() }
+func (e *Engine) enforcesCapacity(a *agent) bool { return e.graph.Pool(a.record.Pool).GetGuarded() }
 
 // reconcileAgent renews the agent's lease, or abandons its runs once the lease has
 // expired.
-func (e *Engine) reconcileAgent(at *agent) {
-	if at.dropping {
+func (e *Engine) reconcileAgent(a *agent) {
+	if a.dropping {
 		return
 	}
-	if at.failedPolls > 0 && e.leaseExpired(at) {
-		if e.now-at.answeredAt >= unreachableDropAfter {
-			e.dropAgent(at, unreachable, "silent for too long")
+	if a.failedPolls > 0 && e.leaseExpired(a) {
+		if e.now-a.answeredAt >= unreachableDropAfter {
+			e.dropAgent(a, unreachable, "silent for too long")
 			return
 		}
-		e.abandonRuns(at)
+		e.abandonRuns(a)
 	}
-	if at.polling || at.endsPending || e.now < at.nextPoll {
+	if a.polling || a.endsPending || e.now < a.nextPoll {
 		return
 	}
-	next := e.planPoll(at)
-	at.polling, at.pollSentAt, at.pollWait, at.pollPause = true, e.now, next.wait, next.pause
+	next := e.planPoll(a)
+	a.polling, a.pollSentAt, a.pollWait, a.pollPause = true, e.now, next.wait, next.pause
 	if next.wait > 0 {
 		e.longPolls++
 	}
-	o := Order{Kind: Poll, LastAcked: at.lastAcked, Wait: next.wait}
+	o := Order{Kind: Poll, LastAcked: a.lastAcked, Wait: next.wait}
 	// An unreachable agent's lease is not renewed: any renewal may have arrived, so each
 	// retry would postpone its expiry, and the runs would never be abandoned.
-	if at.leaseRenewable() {
-		o.Deadline = at.clock.grantLease(e.now, e.options.Lease)
+	if a.leaseRenewable() {
+		o.Deadline = a.clock.grantLease(e.now, e.options.Lease)
 	}
-	e.send(at, o)
+	e.send(a, o)
 }
 
-func (e *Engine) dropAgent(at *agent, why dropCause, reason string) {
-	if at.dropping {
+func (e *Engine) dropAgent(a *agent, cause dropCause, reason string) {
+	if a.dropping {
 		return
 	}
-	at.dropping = true
+	a.dropping = true
 	agentsDropped.Inc()
-	e.options.Logger.Info("agent dropped", "agent", at.record.Id, "address", at.record.Address, "reason", reason, "runs", len(at.runs), "silent", e.now-at.answeredAt, "lost", formatLost(at))
-	runsLost.Add(len(at.runs))
-	e.endLostRuns(at, why)
+	e.options.Logger.Info("agent dropped", "agent", a.record.Id, "address", a.record.Address, "reason", reason, "runs", len(a.runs), "silent", e.now-a.answeredAt, "lost", formatLost(a))
+	runsLost.Add(len(a.runs))
+	e.endLostRuns(a, cause)
 	e.flushEnds() // before the drop, which would discard their checkpoints
-	e.propose(&wire.WorkCommand{Body: &wire.WorkCommand_DropAgent{DropAgent: &wire.DropAgent{Id: at.record.Id, Reason: reason}}},
+	e.propose(&wire.WorkCommand{Body: &wire.WorkCommand_DropAgent{DropAgent: &wire.DropAgent{Id: a.record.Id, Reason: reason}}},
 		func(_ state.Result, err error) {
 			if err != nil {
-				at.dropping = false
-				at.markChanged()
+				a.dropping = false
+				a.markChanged()
 			}
 		})
 }
 
-func (e *Engine) handlePollAnswer(at *agent, a Answer) {
-	at.polling = false
-	if a.Verdict == NoConnection {
-		at.nextPoll = e.now + noConnectionRetryInterval
+func (e *Engine) handlePollAnswer(a *agent, ans Answer) {
+	a.polling = false
+	if ans.Verdict == NoConnection {
+		a.nextPoll = e.now + noConnectionRetryInterval
 		return
 	}
-	if a.Verdict != Accepted {
+	if ans.Verdict != Accepted {
 		pollsFailed.Inc()
-		if a.Verdict != NotSent || at.failedPolls > 0 || e.now-at.answeredAt > suspectAfter {
-			at.failedPolls++
+		if ans.Verdict != NotSent || a.failedPolls > 0 || e.now-a.answeredAt > suspectAfter {
+			a.failedPolls++
 		}
-		if at.failedPolls == 1 {
-			e.options.Logger.Info("agent unreachable", "agent", at.record.Id, "verdict", a.Verdict.String(), "detail", a.Detail)
+		if a.failedPolls == 1 {
+			e.options.Logger.Info("agent unreachable", "agent", a.record.Id, "verdict", ans.Verdict.String(), "detail", ans.Detail)
 		}
-		at.nextPoll = e.now + pollRetryInterval
-		if len(at.sortedRuns) == 0 && e.leaseExpired(at) {
-			at.nextPoll = e.now + expiredRetryInterval
+		a.nextPoll = e.now + pollRetryInterval
+		if len(a.sortedRuns) == 0 && e.leaseExpired(a) {
+			a.nextPoll = e.now + expiredRetryInterval
 		}
 		return
 	}
-	if at.failedPolls > 0 {
-		e.options.Logger.Info("agent heard again", "agent", at.record.Id, "silent", e.now-at.answeredAt)
+	if a.failedPolls > 0 {
+		e.options.Logger.Info("agent heard again", "agent", a.record.Id, "silent", e.now-a.answeredAt)
 		e.placementDirty = true
 	}
-	at.failedPolls, at.connectionClosed, at.answeredAt, at.nextPoll = 0, false, e.now, e.now+at.pollPause
-	first := !at.synced
+	a.failedPolls, a.connectionClosed, a.answeredAt, a.nextPoll = 0, false, e.now, e.now+a.pollPause
+	first := !a.synced
 	if first {
-		at.synced = true
+		a.synced = true
 		e.placementDirty = true
-		e.dropPredecessors(at)
+		e.dropPredecessors(a)
 	}
-	e.recordRunning(at, a)
-	e.recordCompletions(at, a)
-	e.resolveMissingRuns(at, a)
-	e.checkTails(at)
-	e.reconcileAgent(at)
+	e.recordRunning(a, ans)
+	e.recordCompletions(a, ans)
+	e.resolveMissingRuns(a, ans)
+	e.checkTails(a)
+	e.reconcileAgent(a)
 }
 
 // recordClosedConnection checks whether an unanswered order proves that the agent's
 // process has ended: the connection of a pending poll was closed, or a new one was
 // refused. After failed polls a closed connection proves nothing; it may predate a
 // network partition.
-func (r *agent) recordClosedConnection(a Answer) {
-	waited := a.Order.Kind == Poll && r.failedPolls == 0
-	if a.ConnectionClosed && (waited || a.Verdict == NotSent) {
-		r.connectionClosed = true
+func (a *agent) recordClosedConnection(ans Answer) {
+	waited := ans.Order.Kind == Poll && a.failedPolls == 0
+	if ans.ConnectionClosed && (waited || ans.Verdict == NotSent) {
+		a.connectionClosed = true
 	}
 }
 
 // dropPredecessors drops agents that the given one has replaced, by address or by name.
 // Its answer proves that their processes, and all of their runs, have ended.
-func (e *Engine) dropPredecessors(at *agent) {
+func (e *Engine) dropPredecessors(a *agent) {
 	for _, other := range e.agentsByID() {
-		if other != at && other.synced && at.precedes(other) {
+		if other != a && other.synced && a.precedes(other) {
 			// This answer was in flight while its successor answered.
-			e.dropAgent(at, superseded, "a later incarnation has answered")
+			e.dropAgent(a, superseded, "a later incarnation has answered")
 			return
 		}
 	}
 	for _, other := range e.agentsByID() {
-		if other != at && (other.record.Address == at.record.Address || other.precedes(at)) {
+		if other != a && (other.record.Address == a.record.Address || other.precedes(a)) {
 			e.dropAgent(other, superseded, "another incarnation answered at its address")
 		}
 	}
 }
 
-func (e *Engine) recordRunning(at *agent, a Answer) {
-	at.hasLatencyTargets = false
-	for i := range a.Running {
-		status := &a.Running[i]
+func (e *Engine) recordRunning(a *agent, ans Answer) {
+	a.hasLatencyTargets = false
+	for i := range ans.Running {
+		status := &ans.Running[i]
 		t := e.graph.FindTask(status.Run)
-		known := e.runs[t]
-		if known != nil && known.agent == at {
-			known.listedAt = e.now
+		r := e.runs[t]
+		if r != nil && r.agent == a {
+			r.listedAt = e.now
 		}
-		if t == nil || known == nil || known.agent != at || known.number != status.Run.Run {
-			e.stopUnknownRun(at, status.Run)
+		if t == nil || r == nil || r.agent != a || r.number != status.Run.Run {
+			e.stopUnknownRun(a, status.Run)
 			continue
 		}
-		known.recordStatus(e.now, status)
+		r.recordStatus(e.now, status)
 		if t.Stage.Step.TailTargetMs > 0 {
-			at.hasLatencyTargets = true
+			a.hasLatencyTargets = true
 		}
 	}
 }
 
 // stopUnknownRun stops a run that isn't in the replicated state, such as one whose end
 // was committed without the agent's report.
-func (e *Engine) stopUnknownRun(at *agent, id *wire.RunId) {
-	e.options.Logger.Warn("unknown run stopped", "agent", at.record.Id, "job", id.Job, "step", id.Step, "index", id.Index, "run", id.Run)
-	e.send(at, Order{Kind: Stop, Run: id})
+func (e *Engine) stopUnknownRun(a *agent, id *wire.RunId) {
+	e.options.Logger.Warn("unknown run stopped", "agent", a.record.Id, "job", id.Job, "step", id.Step, "index", id.Index, "run", id.Run)
+	e.send(a, Order{Kind: Stop, Run: id})
 }
--- a/internal/sched/drive/clock.go
+++ b/internal/sched/drive/clock.go
@@ -53,8 +53,8 @@
 // leasesExpireAt returns when every lease of the agent has expired, without expirySlack.
 // It assumes the slowest clock for leases of this leader, and the latest possible order
 // for leases of earlier leaders.
-func (c *agentClock) leasesExpireAt(ledSince, lease time.Duration) time.Duration {
-	at := ledSince + slowClockDuration(earlierLeaderMargin+lease)
+func (c *agentClock) leasesExpireAt(leaderSince, lease time.Duration) time.Duration {
+	at := leaderSince + slowClockDuration(earlierLeaderMargin+lease)
 	if c.deadline != 0 {
 		at = max(at, c.readAt+slowClockDuration(c.deadline-c.reading))
 	}
@@ -66,6 +66,6 @@
 func slowClockDuration(d time.Duration) time.Duration { return d * 100 / (100 - maxClockSlowPercent) }
 
 // leasesExpired reports whether every lease of the agent is certain to have expired.
-func (c *agentClock) leasesExpired(now, ledSince, lease time.Duration) bool {
-	return now > c.leasesExpireAt(ledSince, lease)+expirySlack
+func (c *agentClock) leasesExpired(now, leaderSince, lease time.Duration) bool {
+	return now > c.leasesExpireAt(leaderSince, lease)+expirySlack
 }
--- a/internal/sched/drive/completions.go
+++ b/internal/sched/drive/completions.go
@@ -18,52 +18,52 @@
 
 // recordCompletions commits the completions that the agent reports. They are acknowledged
 // by the first poll after the commit.
-func (e *Engine) recordCompletions(at *agent, a Answer) {
-	last := at.lastAcked
+func (e *Engine) recordCompletions(a *agent, ans Answer) {
+	last := a.lastAcked
 	var ends []*wire.RunEnd
 	var skipped []Completion
-	for _, report := range a.Completions {
+	for _, report := range ans.Completions {
 		t := e.graph.FindTask(report.Run)
-		if known := at.runs[t]; known != nil {
-			known.listedAt = e.now
+		if r := a.runs[t]; r != nil {
+			r.listedAt = e.now
 		}
-		if report.Number <= at.lastAcked {
+		if report.Number <= a.lastAcked {
 			skipped = append(skipped, report)
 			continue
 		}
 		last = max(last, report.Number)
-		if t == nil || t.Agent != at.record.Id || t.Run != report.Run.Run {
+		if t == nil || t.Agent != a.record.Id || t.Run != report.Run.Run {
 			continue
 		}
-		e.recordOutcome(at, t, report.Outcome)
-		ends = append(ends, &wire.RunEnd{Id: report.Run, Agent: at.record.Id, Outcome: report.Outcome, Checkpoint: report.Checkpoint})
+		e.recordOutcome(a, t, report.Outcome)
+		ends = append(ends, &wire.RunEnd{Id: report.Run, Agent: a.record.Id, Outcome: report.Outcome, Checkpoint: report.Checkpoint})
 	}
-	e.logSkippedCompletions(at, skipped)
+	e.logSkippedCompletions(a, skipped)
 	if len(ends) == 0 {
-		at.lastAcked = last
+		a.lastAcked = last
 		return
 	}
-	at.endsPending = true
+	a.endsPending = true
 	e.commitEnds(ends, func(ok bool) {
-		at.endsPending = false
+		a.endsPending = false
 		if ok {
-			at.lastAcked = last
+			a.lastAcked = last
 		}
-		e.reconcileAgent(at)
+		e.reconcileAgent(a)
 	})
 }
 
 // logSkippedCompletions logs completions that were skipped by their number although the
 // run is still considered present: their number must belong to another sequence.
-func (e *Engine) logSkippedCompletions(at *agent, skipped []Completion) {
+func (e *Engine) logSkippedCompletions(a *agent, skipped []Completion) {
 	for _, report := range skipped {
-		r := e.findRun(at, report.Run)
+		r := e.findRun(a, report.Run)
 		if r == nil || r.endPending {
 			continue
 		}
 		endsSkipped.Inc()
-		e.options.Logger.Warn("completion skipped by its number", "agent", at.record.Id, "job", report.Run.Job, "step", report.Run.Step, "index", report.Run.Index,
-			"run", report.Run.Run, "outcome", report.Outcome.String(), "number", report.Number, "acknowledged", at.lastAcked, "incarnation", at.incarnation)
+		e.options.Logger.Warn("completion skipped by its number", "agent", a.record.Id, "job", report.Run.Job, "step", report.Run.Step, "index", report.Run.Index,
+			"run", report.Run.Run, "outcome", report.Outcome.String(), "number", report.Number, "acknowledged", a.lastAcked, "incarnation", a.incarnation)
 	}
 }
 
@@ -99,8 +99,8 @@
 // markAgentsChanged marks the agents of the given ends as changed.
 func (e *Engine) markAgentsChanged(ends []*wire.RunEnd) {
 	for _, end := range ends {
-		if at := e.agents[end.Agent]; at != nil {
-			at.markChanged()
+		if a := e.agents[end.Agent]; a != nil {
+			a.markChanged()
 		}
 	}
 }
--- a/internal/sched/drive/durations.go
+++ b/internal/sched/drive/durations.go
@@ -41,7 +41,7 @@
 	return math.Log(max(float64(d.Milliseconds()), 1))
 }
 
-func (f *durationFit) add(declared, taken time.Duration) {
+func (f *durationFit) add(declared, actual time.Duration) {
 	if f.samples >= maxFitSamples {
 		f.samples /= 2
 		f.sumDeclared /= 2
@@ -49,7 +49,7 @@
 		f.sumDeclaredSquared /= 2
 		f.sumProducts /= 2
 	}
-	x, y := logMillis(declared), logMillis(taken)
+	x, y := logMillis(declared), logMillis(actual)
 	f.samples++
 	f.sumDeclared += x
 	f.sumActual += y
@@ -63,28 +63,28 @@
 	if f == nil || f.samples < minFitSamples {
 		return 1
 	}
-	meanDeclared, meanTaken := f.sumDeclared/f.samples, f.sumActual/f.samples
+	meanDeclared, meanActual := f.sumDeclared/f.samples, f.sumActual/f.samples
 	slope := 1.0
 	if variance := f.sumDeclaredSquared/f.samples - meanDeclared*meanDeclared; variance > minVariance {
-		covariance := f.sumProducts/f.samples - meanDeclared*meanTaken
+		covariance := f.sumProducts/f.samples - meanDeclared*meanActual
 		slope = min(max(covariance/variance, 0), 1)
 	}
 	x := logMillis(declared)
-	return math.Exp(meanTaken + slope*(x-meanDeclared) - x)
+	return math.Exp(meanActual + slope*(x-meanDeclared) - x)
 }
 
-func (o *jobDurations) add(declared, taken time.Duration) {
-	o.samples++
-	o.sumLogRatios += logMillis(taken) - logMillis(declared)
+func (d *jobDurations) add(declared, actual time.Duration) {
+	d.samples++
+	d.sumLogRatios += logMillis(actual) - logMillis(declared)
 }
 
 // factor returns the ratio of a job's run times to the declared ones; false while there
 // are too few samples.
-func (o *jobDurations) factor() (float64, bool) {
-	if o == nil || o.samples < minJobSamples {
+func (d *jobDurations) factor() (float64, bool) {
+	if d == nil || d.samples < minJobSamples {
 		return 1, false
 	}
-	return math.Exp(o.sumLogRatios / o.samples), true
+	return math.Exp(d.sumLogRatios / d.samples), true
 }
 
 // recordDuration adds a successful run to the estimates, unless it was throttled or
@@ -94,16 +94,16 @@
 	if step.EstimateMs == 0 || step.Standing || r.startedAt == 0 || r.throttledAt != 0 || r.task.Checkpoint != "" {
 		return
 	}
-	declared, taken := declaredDuration(r.task.Stage), e.now-r.startedAt
+	declared, actual := declaredDuration(r.task.Stage), e.now-r.startedAt
 	job := r.task.Stage.Job
 	if e.estimates.queues[job.Queue] == nil {
 		e.estimates.queues[job.Queue] = &durationFit{}
 	}
-	e.estimates.queues[job.Queue].add(declared, taken)
+	e.estimates.queues[job.Queue].add(declared, actual)
 	if e.estimates.jobs[job] == nil {
 		e.estimates.jobs[job] = &jobDurations{}
 	}
-	e.estimates.jobs[job].add(declared, taken)
+	e.estimates.jobs[job].add(declared, actual)
 }
 
 // durationFactor returns the expected ratio of the run times of a stage, and of those
--- a/internal/sched/drive/engine.go
+++ b/internal/sched/drive/engine.go
@@ -240,44 +240,44 @@
 }
 
 // send sends an order to an agent with this leader's fence.
-func (e *Engine) send(at *agent, o Order) {
-	o.Agent, o.Incarnation, o.Fence, o.SentAt = at.record, at.incarnation, e.term, e.now
+func (e *Engine) send(a *agent, o Order) {
+	o.Agent, o.Incarnation, o.Fence, o.SentAt = a.record, a.incarnation, e.term, e.now
 	e.options.Send(o)
 }
 
 // HandleAnswer processes the answer to an order.
-func (e *Engine) HandleAnswer(now time.Duration, a Answer) {
+func (e *Engine) HandleAnswer(now time.Duration, ans Answer) {
 	e.now = now
-	if a.Order.Fence != e.term || e.term == 0 {
+	if ans.Order.Fence != e.term || e.term == 0 {
 		return // sent in an earlier term; startTerm re-queries every agent
 	}
-	if a.Order.Kind == Poll && a.Order.Wait > 0 {
+	if ans.Order.Kind == Poll && ans.Order.Wait > 0 {
 		e.longPolls--
 	}
-	r := e.agents[a.Order.Agent.Id]
-	if r == nil {
+	a := e.agents[ans.Order.Agent.Id]
+	if a == nil {
 		return
 	}
-	r.scheduleReconcile()
-	if !e.sameIncarnation(r, a) {
-		a.Verdict = OtherIncarnation
+	a.scheduleReconcile()
+	if !e.sameIncarnation(a, ans) {
+		ans.Verdict = OtherIncarnation
 	}
-	if a.ClockKnown && a.Verdict != OtherIncarnation {
-		r.clock.update(a.Clock, now)
+	if ans.ClockKnown && ans.Verdict != OtherIncarnation {
+		a.clock.update(ans.Clock, now)
 	}
-	if a.Verdict == OtherIncarnation {
-		e.dropAgent(r, superseded, "another incarnation lives at its address")
+	if ans.Verdict == OtherIncarnation {
+		e.dropAgent(a, superseded, "another incarnation lives at its address")
 		return
 	}
-	r.recordClosedConnection(a)
-	switch a.Order.Kind {
+	a.recordClosedConnection(ans)
+	switch ans.Order.Kind {
 	case Poll:
-		e.handlePollAnswer(r, a)
+		e.handlePollAnswer(a, ans)
 	case Start:
-		e.handleStartAnswer(r, a)
+		e.handleStartAnswer(a, ans)
 	case Stop:
-		e.handleStopAnswer(r, a)
+		e.handleStopAnswer(a, ans)
 	case Throttle:
-		e.handleThrottleAnswer(r, a)
+		e.handleThrottleAnswer(a, ans)
 	}
 }
--- a/internal/sched/drive/estimates.go
+++ b/internal/sched/drive/estimates.go
@@ -43,58 +43,58 @@
 	}
 )
 
-func (l *estimates) agent(id string) *agentEstimate {
-	if l.agents == nil {
-		l.agents, l.durationRatio = map[string]*agentEstimate{}, map[string]float64{}
-		l.queues, l.jobs = map[string]*durationFit{}, map[*graph.Job]*jobDurations{}
+func (es *estimates) agent(id string) *agentEstimate {
+	if es.agents == nil {
+		es.agents, es.durationRatio = map[string]*agentEstimate{}, map[string]float64{}
+		es.queues, es.jobs = map[string]*durationFit{}, map[*graph.Job]*jobDurations{}
 	}
-	if l.agents[id] == nil {
-		l.agents[id] = &agentEstimate{slowdown: 1}
+	if es.agents[id] == nil {
+		es.agents[id] = &agentEstimate{slowdown: 1}
 	}
-	return l.agents[id]
+	return es.agents[id]
 }
 
 // expectedSlowdown returns the expected cost of a run on an agent, in normal run times.
-func (l *estimates) expectedSlowdown(id string) float64 {
-	r := l.agents[id]
-	if r == nil {
+func (es *estimates) expectedSlowdown(id string) float64 {
+	est := es.agents[id]
+	if est == nil {
 		return 1
 	}
-	return max(r.slowdown, 0.5) + failureCost*r.failureRate
+	return max(est.slowdown, 0.5) + failureCost*est.failureRate
 }
 
-func (r *agentEstimate) recordResult(failed bool) {
+func (est *agentEstimate) recordResult(failed bool) {
 	value := 0.0
 	if failed {
 		value = 1
 	}
-	r.failureRate += (value - r.failureRate) * newSampleWeight
+	est.failureRate += (value - est.failureRate) * newSampleWeight
 }
 
 // recordOutcome updates the estimates with the end of a run. Opportunistic runs don't
 // indicate the speed of their agent, as they only get the CPU that others leave unused.
-func (e *Engine) recordOutcome(at *agent, t *graph.Task, outcome wire.RunOutcome) {
+func (e *Engine) recordOutcome(a *agent, t *graph.Task, outcome wire.RunOutcome) {
 	r := e.runs[t]
 	if r == nil {
 		return
 	}
-	learned := e.estimates.agent(at.record.Id)
+	est := e.estimates.agent(a.record.Id)
 	switch outcome {
 	case wire.RunOutcome_RUN_OUTCOME_DONE:
-		learned.recordResult(false)
-		e.recordSlowdown(learned, r)
+		est.recordResult(false)
+		e.recordSlowdown(est, r)
 		e.recordDuration(r)
 	case wire.RunOutcome_RUN_OUTCOME_FAILED:
 		// Standing tasks may fail at any time through no fault of the agent.
 		if !t.Stage.Standing() {
-			learned.recordResult(true)
+			est.recordResult(true)
 		}
 		e.options.Logger.Info("run failed", "job", t.Stage.Job.ID, "step", t.Stage.Index, "index", t.Index, "run", t.Run,
-			"agent", at.record.Id, "failures", t.Failures+1, "agent_failing", learned.failureRate)
+			"agent", a.record.Id, "failures", t.Failures+1, "agent_failing", est.failureRate)
 	}
 }
 
-func (e *Engine) recordSlowdown(learned *agentEstimate, r *run) {
+func (e *Engine) recordSlowdown(est *agentEstimate, r *run) {
 	step := r.task.Stage.Step
 	if step.Opportunistic || step.EstimateMs == 0 || r.startedAt == 0 || r.task.Checkpoint != "" {
 		return
@@ -106,7 +106,7 @@
 		usual = ratio
 	}
 	e.estimates.durationRatio[queue] = usual + (ratio-usual)*newSampleWeight/4
-	learned.slowdown += (ratio/max(usual, 0.01) - learned.slowdown) * newSampleWeight
+	est.slowdown += (ratio/max(usual, 0.01) - est.slowdown) * newSampleWeight
 }
 
 // checkProgress stops a stalled run so that it is restarted elsewhere from its
--- a/internal/sched/drive/export_test.go
+++ b/internal/sched/drive/export_test.go
@@ -22,47 +22,47 @@
 	if !maps.Equal(loads, e.runningCPU) {
 		return fmt.Errorf("running CPU is cached as %v, want %v", e.runningCPU, loads)
 	}
-	for id, at := range e.agents {
-		if err := e.checkAgentCaches(at); err != nil {
+	for id, a := range e.agents {
+		if err := e.checkAgentCaches(a); err != nil {
 			return fmt.Errorf("agent %s: %w", id, err)
 		}
 	}
 	return nil
 }
 
-func (e *Engine) checkAgentCaches(at *agent) error {
-	id := at.record.Id
+func (e *Engine) checkAgentCaches(a *agent) error {
+	id := a.record.Id
 	if registered := e.graph.Agent(id); registered != nil && !e.changedAgents[id] {
 		for t := range registered.Tasks {
-			if r := e.runs[t]; r == nil || r.agent != at || r.number != t.Run {
+			if r := e.runs[t]; r == nil || r.agent != a || r.number != t.Run {
 				return fmt.Errorf("the run of task %s isn't tracked", t.ID())
 			}
 		}
-		if len(registered.Tasks) != len(at.runs) {
-			return fmt.Errorf("%d runs are tracked, want %d", len(at.runs), len(registered.Tasks))
+		if len(registered.Tasks) != len(a.runs) {
+			return fmt.Errorf("%d runs are tracked, want %d", len(a.runs), len(registered.Tasks))
 		}
 	}
-	if at.reconcileAt > e.now && !at.dropping && at.synced {
-		for _, r := range at.runs {
-			if r.hasPendingOrder() && at.reconcileAt > e.now+reconcileInterval {
-				return fmt.Errorf("run %s has a pending order, but its agent isn't reconciled until %v", r.id(), at.reconcileAt)
+	if a.reconcileAt > e.now && !a.dropping && a.synced {
+		for _, r := range a.runs {
+			if r.hasPendingOrder() && a.reconcileAt > e.now+reconcileInterval {
+				return fmt.Errorf("run %s has a pending order, but its agent isn't reconciled until %v", r.id(), a.reconcileAt)
 			}
 		}
 	}
-	if at.freeStale {
+	if a.freeStale {
 		return nil
 	}
-	kept := at.free
-	fresh := *at
+	cached := a.free
+	fresh := *a
 	fresh.free = freeResources{}
 	e.recomputeFree(&fresh)
-	m := fresh.free
-	if kept.cpuMillis != m.cpuMillis || kept.memoryMB != m.memoryMB || kept.accelerators != m.accelerators || kept.ordinaryMillis != m.ordinaryMillis || kept.standing != m.standing ||
-		kept.suspects < m.suspects || kept.unconfirmed < m.unconfirmed || m.finalAttempt && !kept.finalAttempt {
-		return fmt.Errorf("free resources are cached as %+v, want %+v", kept, m)
+	want := fresh.free
+	if cached.cpuMillis != want.cpuMillis || cached.memoryMB != want.memoryMB || cached.accelerators != want.accelerators || cached.ordinaryMillis != want.ordinaryMillis || cached.standing != want.standing ||
+		cached.suspects < want.suspects || cached.unconfirmed < want.unconfirmed || want.finalAttempt && !cached.finalAttempt {
+		return fmt.Errorf("free resources are cached as %+v, want %+v", cached, want)
 	}
-	if !maps.Equal(kept.tasksByStage, m.tasksByStage) || !maps.Equal(kept.standingByImage, m.standingByImage) {
-		return fmt.Errorf("tasks by stage and image are cached as %v and %v, want %v and %v", kept.tasksByStage, kept.standingByImage, m.tasksByStage, m.standingByImage)
+	if !maps.Equal(cached.tasksByStage, want.tasksByStage) || !maps.Equal(cached.standingByImage, want.standingByImage) {
+		return fmt.Errorf("tasks by stage and image are cached as %v and %v, want %v and %v", cached.tasksByStage, cached.standingByImage, want.tasksByStage, want.standingByImage)
 	}
 	return nil
 }
--- a/internal/sched/drive/gang.go
+++ b/internal/sched/drive/gang.go
@@ -12,7 +12,7 @@
 
 // placeGang places all members of a gang or none, as a part of them would only wait for
 // the others. Their runs share one number.
-func (p *pass) placeGang(s *graph.Stage, rooms []*freeResources) {
+func (p *pass) placeGang(s *graph.Stage, candidates []*freeResources) {
 	number := uint32(0)
 	for _, t := range s.Tasks {
 		if t.Agent != "" {
@@ -21,24 +21,24 @@
 		number = max(number, t.Run)
 	}
 	if s.Step.SameRack {
-		for _, rack := range groupByRack(rooms) {
+		for _, rack := range groupByRack(candidates) {
 			if p.placeMembers(s, rack, number+1) {
 				return
 			}
 		}
 	}
-	p.placeMembers(s, rooms, number+1)
+	p.placeMembers(s, candidates, number+1)
 }
 
-func groupByRack(rooms []*freeResources) [][]*freeResources {
+func groupByRack(candidates []*freeResources) [][]*freeResources {
 	byRack := map[string][]*freeResources{}
 	var names []string
-	for _, m := range rooms {
-		rack := m.agent.record.Rack
+	for _, free := range candidates {
+		rack := free.agent.record.Rack
 		if byRack[rack] == nil {
 			names = append(names, rack)
 		}
-		byRack[rack] = append(byRack[rack], m)
+		byRack[rack] = append(byRack[rack], free)
 	}
 	sort.Strings(names)
 	list := make([][]*freeResources, 0, len(names))
@@ -48,28 +48,28 @@
 	return list
 }
 
-func (p *pass) placeMembers(s *graph.Stage, rooms []*freeResources, number uint32) bool {
+func (p *pass) placeMembers(s *graph.Stage, candidates []*freeResources, number uint32) bool {
 	trial := &pass{engine: p.engine, wallTime: p.wallTime}
-	copies := make([]*freeResources, len(rooms))
-	for i, m := range rooms {
-		c := *m
-		c.tasksByStage = map[*graph.Stage]int{s: m.tasksByStage[s]}
-		c.standingByImage, c.latencyTasks = maps.Clone(m.standingByImage), slices.Clone(m.latencyTasks)
-		copies[i] = &c
+	copies := make([]*freeResources, len(candidates))
+	for i, free := range candidates {
+		clone := *free
+		clone.tasksByStage = map[*graph.Stage]int{s: free.tasksByStage[s]}
+		clone.standingByImage, clone.latencyTasks = maps.Clone(free.standingByImage), slices.Clone(free.latencyTasks)
+		copies[i] = &clone
 	}
-	f := trial.newSearch(s, copies)
+	sr := trial.newSearch(s, copies)
 	for _, t := range s.Tasks {
-		m := f.best(t)
-		if m == nil {
+		free := sr.best(t)
+		if free == nil {
 			return false
 		}
-		trial.assume(t, m, number)
-		f.updateRating(m)
+		trial.assume(t, free, number)
+		sr.updateRating(free)
 	}
 	for _, placement := range trial.placed {
-		for _, m := range rooms {
-			if m.agent.record.Id == placement.Agent {
-				m.assume(s.Tasks[placement.Id.Index])
+		for _, free := range candidates {
+			if free.agent.record.Id == placement.Agent {
+				free.assume(s.Tasks[placement.Id.Index])
 				p.summaries[p.engine.poolOf(s.Job)].assume(s)
 			}
 		}
--- a/internal/sched/drive/latency.go
+++ b/internal/sched/drive/latency.go
@@ -39,8 +39,8 @@
 	changeUncertainty = 0.3
 )
 
-func (r *agent) cpuShare(cpuMillis float64) float64 {
-	return cpuMillis / max(float64(r.record.CpuMillis), 1)
+func (a *agent) cpuShare(cpuMillis float64) float64 {
+	return cpuMillis / max(float64(a.record.CpuMillis), 1)
 }
 
 // unthrottledShare returns the CPU share that an opportunistic run would use unthrottled.
@@ -57,32 +57,32 @@
 
 // checkTails updates the tail model with the readings of the agent's standing runs, and
 // throttles or releases the opportunistic runs there.
-func (e *Engine) checkTails(at *agent) {
-	if !at.hasLatencyTargets {
-		at.opportunisticHalted = false
-		e.clearThrottles(at)
+func (e *Engine) checkTails(a *agent) {
+	if !a.hasLatencyTargets {
+		a.opportunisticHalted = false
+		e.clearThrottles(a)
 		return
 	}
-	if e.now-at.tailsCheckedAt < minTailCheckInterval {
+	if e.now-a.tailsCheckedAt < minTailCheckInterval {
 		return
 	}
-	at.tailsCheckedAt = e.now
-	e.updateTailModel(at)
-	at.recordColocated()
-	standing := e.longestOverTarget(at)
-	at.opportunisticHalted = standing != nil && e.enabled(HaltOpportunistic)
-	if at.opportunisticHalted {
+	a.tailsCheckedAt = e.now
+	e.updateTailModel(a)
+	a.recordColocated()
+	standing := e.longestOverTarget(a)
+	a.opportunisticHalted = standing != nil && e.enabled(HaltOpportunistic)
+	if a.opportunisticHalted {
 		e.haltColocated(standing)
 		return
 	}
-	if e.now-at.throttleChangedAt < minThrottleInterval {
+	if e.now-a.throttleChangedAt < minThrottleInterval {
 		return
 	}
-	if worst := e.mostDegraded(at); worst != nil {
+	if worst := e.mostDegraded(a); worst != nil {
 		e.throttleColocated(worst)
 		return
 	}
-	e.relaxThrottles(at)
+	e.relaxThrottles(a)
 }
 
 // hasFreshTail reports whether a standing run's tail latency was measured just now.
@@ -92,9 +92,9 @@
 
 // longestOverTarget returns a standing run that has exceeded its target for haltAfter, if
 // interference may be the cause, or for haltRegardlessAfter; otherwise nil.
-func (e *Engine) longestOverTarget(at *agent) *run {
+func (e *Engine) longestOverTarget(a *agent) *run {
 	var longest *run
-	for _, r := range at.sortedRuns {
+	for _, r := range a.sortedRuns {
 		if !e.hasFreshTail(r) {
 			continue
 		}
@@ -117,8 +117,8 @@
 func (e *Engine) mayBeInterference(r *run) bool {
 	step := r.task.Stage.Step
 	target := latencyTargetOf(step)
-	doubt := baselineUncertainty + e.tailModel.Uncertainty(step.Image, r.agent.colocated)
-	return e.tailModel.Level(&r.baseline) < e.tailModel.Utilization(target, target.Milliseconds)+doubt
+	uncertainty := baselineUncertainty + e.tailModel.Uncertainty(step.Image, r.agent.colocated)
+	return e.tailModel.Level(&r.baseline) < e.tailModel.Utilization(target, target.Milliseconds)+uncertainty
 }
 
 // haltColocated stops all opportunistic runs that are colocated with a standing run from
@@ -127,15 +127,15 @@
 // runs that interfere are evicted, the others are throttled to zero, and no new ones are
 // placed.
 func (e *Engine) haltColocated(standing *run) {
-	offenders := e.interferingRuns(standing)
-	if len(offenders) == 0 {
+	interfering := e.interferingRuns(standing)
+	if len(interfering) == 0 {
 		return
 	}
 	opportunisticHalts.Inc()
 	e.options.Logger.Info("opportunistic runs halted", "agent", standing.agent.record.Id,
 		"job", standing.task.Stage.Job.ID, "step", standing.task.Stage.Index, "index", standing.task.Index, "tail_ms", standing.usage,
-		"target_ms", standing.task.Stage.Step.TailTargetMs, "over", e.now-standing.overTargetSince, "runs", len(offenders))
-	for _, r := range offenders {
+		"target_ms", standing.task.Stage.Step.TailTargetMs, "over", e.now-standing.overTargetSince, "runs", len(interfering))
+	for _, r := range interfering {
 		if r.task.Stage.Step.Checkpointable && e.interferenceOn(standing, r) >= minInterference {
 			e.evictInterfering(r, standing)
 		}
@@ -146,14 +146,14 @@
 
 // mostDegraded returns the standing run that interference takes farthest above
 // throttleAboveShare of its target, or nil.
-func (e *Engine) mostDegraded(at *agent) *run {
+func (e *Engine) mostDegraded(a *agent) *run {
 	var worst *run
 	worstOver := 0.0
-	for _, r := range at.sortedRuns {
+	for _, r := range a.sortedRuns {
 		if !e.hasFreshTail(r) {
 			continue
 		}
-		over := min(e.excessUtilization(r, throttleAboveShare), e.tailModel.Interference(r.task.Stage.Step.Image, at.colocated)-minInterference)
+		over := min(e.excessUtilization(r, throttleAboveShare), e.tailModel.Interference(r.task.Stage.Step.Image, a.colocated)-minInterference)
 		if over > worstOver {
 			worst, worstOver = r, over
 		}
@@ -165,8 +165,8 @@
 // exceed that at a share of its target, by the time a throttle ordered now takes effect.
 func (e *Engine) excessUtilization(r *run, share float64) float64 {
 	target := latencyTargetOf(r.task.Stage.Step)
-	busy := e.tailModel.Predict(&r.baseline, e.now+throttleLookahead) + e.tailModel.Interference(target.Image, r.agent.colocated)
-	return busy - e.tailModel.Utilization(target, target.Milliseconds*share)
+	utilization := e.tailModel.Predict(&r.baseline, e.now+throttleLookahead) + e.tailModel.Interference(target.Image, r.agent.colocated)
+	return utilization - e.tailModel.Utilization(target, target.Milliseconds*share)
 }
 
 func latencyTargetOf(step *wire.Step) tails.Target {
@@ -175,57 +175,57 @@
 
 // recordColocated updates the current CPU shares of the agent's opportunistic runs, by
 // image.
-func (r *agent) recordColocated() {
-	if r.colocated == nil {
-		r.colocated = tails.Load{}
+func (a *agent) recordColocated() {
+	if a.colocated == nil {
+		a.colocated = tails.Load{}
 	}
-	clear(r.colocated)
-	for _, known := range r.sortedRuns {
-		if step := known.task.Stage.Step; step.Opportunistic && known.phase == phaseRunning {
-			r.colocated[step.Image] += known.currentShare()
+	clear(a.colocated)
+	for _, r := range a.sortedRuns {
+		if step := r.task.Stage.Step; step.Opportunistic && r.phase == phaseRunning {
+			a.colocated[step.Image] += r.currentShare()
 		}
 	}
 }
 
 // updateTailModel feeds the readings of the agent's standing runs to the tail model.
-func (e *Engine) updateTailModel(at *agent) {
-	if e.now-at.tailsRecordedAt < tails.MinReadingInterval {
+func (e *Engine) updateTailModel(a *agent) {
+	if e.now-a.tailsRecordedAt < tails.MinReadingInterval {
 		return
 	}
-	latest, beside, unsure := at.colocatedSince(e.now)
-	for _, r := range at.sortedRuns {
+	latest, colocated, uncertain := a.colocatedSince(e.now)
+	for _, r := range a.sortedRuns {
 		if e.hasFreshTail(r) {
-			e.recordTail(r, beside, unsure)
+			e.recordTail(r, colocated, uncertain)
 		}
 	}
-	at.lastShares, at.tailsRecordedAt = latest, e.now
+	a.lastShares, a.tailsRecordedAt = latest, e.now
 }
 
 // colocatedSince returns the current CPU share of each opportunistic run, and by image
 // the mean shares since the previous readings and their uncertainty.
-func (r *agent) colocatedSince(now time.Duration) (latest map[*run]float64, beside, unsure tails.Load) {
-	latest, beside, unsure = map[*run]float64{}, tails.Load{}, tails.Load{}
-	for _, known := range r.sortedRuns {
-		step := known.task.Stage.Step
-		if !step.Opportunistic || known.phase != phaseRunning {
+func (a *agent) colocatedSince(now time.Duration) (latest map[*run]float64, colocated, uncertain tails.Load) {
+	latest, colocated, uncertain = map[*run]float64{}, tails.Load{}, tails.Load{}
+	for _, r := range a.sortedRuns {
+		step := r.task.Stage.Step
+		if !step.Opportunistic || r.phase != phaseRunning {
 			continue
 		}
-		latest[known] = known.currentShare()
-		mean, off := known.meanShareSince(r.tailsRecordedAt, now, latest[known])
-		beside[step.Image] += mean
-		unsure[step.Image] += off
+		latest[r] = r.currentShare()
+		mean, deviation := r.meanShareSince(a.tailsRecordedAt, now, latest[r])
+		colocated[step.Image] += mean
+		uncertain[step.Image] += deviation
 	}
-	for _, known := range slices.SortedFunc(maps.Keys(r.lastShares), compareRuns) {
-		if _, there := latest[known]; there {
+	for _, r := range slices.SortedFunc(maps.Keys(a.lastShares), compareRuns) {
+		if _, there := latest[r]; there {
 			continue
 		}
-		share := r.lastShares[known]
+		share := a.lastShares[r]
 		// A run that ended in between has run for an unknown part of the interval.
-		image := known.task.Stage.Step.Image
-		beside[image] += share / 2
-		unsure[image] += share / 2
+		image := r.task.Stage.Step.Image
+		colocated[image] += share / 2
+		uncertain[image] += share / 2
 	}
-	return latest, beside, unsure
+	return latest, colocated, uncertain
 }
 
 // currentShare returns the share of the agent's CPU that an opportunistic run uses now.
@@ -235,7 +235,7 @@
 
 // meanShareSince returns the mean CPU share of a run since from, given its current share,
 // and the uncertainty of that mean.
-func (r *run) meanShareSince(from, now time.Duration, share float64) (mean, off float64) {
+func (r *run) meanShareSince(from, now time.Duration, share float64) (mean, deviation float64) {
 	changed := max(r.startedAt, r.throttledAt)
 	if changed <= from || now <= from {
 		return share, 0
@@ -244,17 +244,17 @@
 	if r.throttledAt > r.startedAt {
 		earlier = r.unthrottledShare() * float64(max(r.previousPercent, 0)) / fullPercent
 	}
-	part := float64(now-changed) / float64(now-from)
-	return earlier + (share-earlier)*part, math.Abs(share-earlier) * changeUncertainty
+	fraction := float64(now-changed) / float64(now-from)
+	return earlier + (share-earlier)*fraction, math.Abs(share-earlier) * changeUncertainty
 }
 
 // recordTail feeds one reading of a standing run to the tail model. Readings are compared
 // with the previous one only if that was part of the agent's previous update.
-func (e *Engine) recordTail(r *run, beside, unsure tails.Load) {
+func (e *Engine) recordTail(r *run, colocated, uncertain tails.Load) {
 	if r.baseline.At != r.agent.tailsRecordedAt {
 		r.baseline.Valid = false
 	}
 	e.tailModel.Observe(&r.baseline, tails.Reading{
-		Target: latencyTargetOf(r.task.Stage.Step), At: e.now, Milliseconds: float64(r.usage), Colocated: beside, Uncertain: unsure,
+		Target: latencyTargetOf(r.task.Stage.Step), At: e.now, Milliseconds: float64(r.usage), Colocated: colocated, Uncertain: uncertain,
 	})
 }
--- a/internal/sched/drive/lost.go
+++ b/internal/sched/drive/lost.go
@@ -38,27 +38,27 @@
 // endLostRuns ends the runs of an agent before it is dropped, if more has to be recorded
 // than their loss: a checkpoint, or that the run may have crashed the agent. No run is
 // blamed if the agent had announced that it leaves, or if it became unreachable without
-// closing its connections, as in a network partition or when its machine goes down;
+// closing its connections, as in a network partition or when its instance goes down;
 // otherwise repeated partitions would fail jobs that did nothing wrong. An agent that
 // never answered this leader counts as crashed. For a task that was blamed before, every
 // loss counts, as connections may time out just before a crash.
-func (e *Engine) endLostRuns(at *agent, why dropCause) {
-	crashed := why == superseded && !at.record.Leaving
-	seen := at.connectionClosed || !at.synced
+func (e *Engine) endLostRuns(a *agent, cause dropCause) {
+	crashed := cause == superseded && !a.record.Leaving
+	evident := a.connectionClosed || !a.synced
 	var ends []*wire.RunEnd
-	for _, r := range at.sortedRuns {
+	for _, r := range a.sortedRuns {
 		if r.endPending {
 			continue
 		}
 		outcome := wire.RunOutcome_RUN_OUTCOME_LOST
-		if crashed && (seen || r.task.Crashes > 0) {
+		if crashed && (evident || r.task.Crashes > 0) {
 			outcome = r.crashOutcome()
 		}
 		if outcome == wire.RunOutcome_RUN_OUTCOME_LOST && r.checkpoint == "" {
 			continue // dropping the agent records the loss
 		}
 		r.endPending = true
-		ends = append(ends, &wire.RunEnd{Id: r.id(), Agent: at.record.Id, Outcome: outcome, Checkpoint: r.checkpoint})
+		ends = append(ends, &wire.RunEnd{Id: r.id(), Agent: a.record.Id, Outcome: outcome, Checkpoint: r.checkpoint})
 	}
 	if len(ends) > 0 {
 		e.commitEnds(ends, func(bool) {})
@@ -67,23 +67,23 @@
 
 // abandonRuns ends all runs on an unreachable agent whose lease has expired. The agent
 // stays registered and is used again once it answers.
-func (e *Engine) abandonRuns(at *agent) {
+func (e *Engine) abandonRuns(a *agent) {
 	var ends []*wire.RunEnd
 	var lost []*run
-	for _, r := range at.sortedRuns {
+	for _, r := range a.sortedRuns {
 		if r.endPending {
 			continue
 		}
 		lost = append(lost, r)
-		ends = append(ends, &wire.RunEnd{Id: r.id(), Agent: at.record.Id, Outcome: wire.RunOutcome_RUN_OUTCOME_LOST, Checkpoint: r.checkpoint})
+		ends = append(ends, &wire.RunEnd{Id: r.id(), Agent: a.record.Id, Outcome: wire.RunOutcome_RUN_OUTCOME_LOST, Checkpoint: r.checkpoint})
 	}
 	if len(lost) == 0 {
 		return
 	}
 	agentsDropped.Inc()
 	runsLost.Add(len(lost))
-	e.options.Logger.Info("agent lease expired", "agent", at.record.Id, "address", at.record.Address, "reason", "unreachable until its lease expired",
-		"runs", len(lost), "silent", e.now-at.answeredAt, "lost", formatLost(at))
+	e.options.Logger.Info("agent lease expired", "agent", a.record.Id, "address", a.record.Address, "reason", "unreachable until its lease expired",
+		"runs", len(lost), "silent", e.now-a.answeredAt, "lost", formatLost(a))
 	for _, r := range lost {
 		r.endPending = true
 	}
@@ -116,10 +116,10 @@
 // formatLost lists the runs of a lost agent for logs, those confirmed for the shortest
 // time first, each as TASK#RUN:CONFIRMED:CRASHES, with the crashes before this one. A
 // task that crashes its agents is near the front of several such lines.
-func formatLost(at *agent) string {
-	runs := slices.Clone(at.sortedRuns)
-	slices.SortStableFunc(runs, func(a, b *run) int {
-		return cmp.Or(cmp.Compare(a.confirmedFor(), b.confirmedFor()), cmp.Compare(b.trackedAt, a.trackedAt))
+func formatLost(a *agent) string {
+	runs := slices.Clone(a.sortedRuns)
+	slices.SortStableFunc(runs, func(x, y *run) int {
+		return cmp.Or(cmp.Compare(x.confirmedFor(), y.confirmedFor()), cmp.Compare(y.trackedAt, x.trackedAt))
 	})
 	var text strings.Builder
 	for i, r := range runs {
--- a/internal/sched/drive/place.go
+++ b/internal/sched/drive/place.go
@@ -54,8 +54,8 @@
 		return
 	}
 	e.placementDirty, e.nextTimedCheck = false, e.now+timedCheckInterval
-	began := e.options.BootClock()
-	defer func() { e.nextPass = e.now + max(passGapFactor*(e.options.BootClock()-began), minPassInterval) }()
+	startedAt := e.options.BootClock()
+	defer func() { e.nextPass = e.now + max(passGapFactor*(e.options.BootClock()-startedAt), minPassInterval) }()
 	wall := e.options.WallClock()
 	e.updateQueue(wall)
 	if e.queue.empty() {
@@ -82,8 +82,8 @@
 
 func (e *Engine) newPass(wall time.Time) *pass {
 	p := &pass{engine: e, freeByPool: e.freeResourcesByPool(), summaries: map[string]*poolSummary{}, wallTime: wall, unplaceable: make([]taskSize, len(e.queue.classes))}
-	for pool, rooms := range p.freeByPool {
-		p.summaries[pool] = summarize(rooms)
+	for pool, candidates := range p.freeByPool {
+		p.summaries[pool] = summarize(candidates)
 	}
 	return p
 }
@@ -102,11 +102,11 @@
 			}
 			continue
 		}
-		t, at := e.graph.FindTask(p.Id), e.agents[p.Agent]
-		if t == nil || at == nil || t.Agent != p.Agent || t.Run != p.Id.Run {
+		t, a := e.graph.FindTask(p.Id), e.agents[p.Agent]
+		if t == nil || a == nil || t.Agent != p.Agent || t.Run != p.Id.Run {
 			continue
 		}
-		e.syncTask(at, t)
+		e.syncTask(a, t)
 		r := e.runs[t]
 		if e.reasonToStop(r) != "" {
 			e.resolve(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, "cancelled before the start was sent")
@@ -121,11 +121,11 @@
 	if p.knownUnplaceable(r) {
 		return
 	}
-	rooms := p.freeByPool[p.engine.poolOf(s.Job)]
+	candidates := p.freeByPool[p.engine.poolOf(s.Job)]
 	advised := p.engine.advicePolicyOf(s) != nil
 	if advised {
-		all := rooms
-		rooms = p.withTickets(s, all)
+		all := candidates
+		candidates = p.withTickets(s, all)
 		defer func() {
 			if p.hasUnplaced(s) {
 				p.requestAdvice(s, all)
@@ -134,19 +134,19 @@
 	}
 	switch {
 	case s.Step.Gang:
-		p.placeGang(s, rooms)
+		p.placeGang(s, candidates)
 	case advised:
-		p.placeTasks(s, rooms)
-	case !p.placeTasks(s, rooms) && s.Step.SpreadLimit == 0 && s.Step.RequiredLabel == "":
+		p.placeTasks(s, candidates)
+	case !p.placeTasks(s, candidates) && s.Step.SpreadLimit == 0 && s.Step.RequiredLabel == "":
 		p.unplaceable[r.class] = taskSizeOf(s.Step)
 	}
 }
 
 // placeTasks places the tasks of a stage one by one. It returns false if a task, and
 // therefore any other like it, fits on no agent.
-func (p *pass) placeTasks(s *graph.Stage, rooms []*freeResources) bool {
-	f := p.newSearch(s, rooms)
-	tries := p.summaries[p.engine.poolOf(s.Job)]
+func (p *pass) placeTasks(s *graph.Stage, candidates []*freeResources) bool {
+	sr := p.newSearch(s, candidates)
+	summary := p.summaries[p.engine.poolOf(s.Job)]
 	for _, t := range s.Tasks {
 		if !t.Placeable() {
 			continue
@@ -154,28 +154,28 @@
 		if s.Standing() && t.Run == 0 && p.engine.enabled(ReserveForOrdinary) && !p.leavesReserve(s) {
 			return true
 		}
-		m := f.best(t)
-		if t.OnFinalAttempt() && !tries.allowsFinalAttempt() && (m == nil || !m.empty()) {
+		free := sr.best(t)
+		if t.OnFinalAttempt() && !summary.allowsFinalAttempt() && (free == nil || !free.empty()) {
 			continue
 		}
 		switch {
-		case m != nil:
+		case free != nil:
 			delete(p.engine.reservations, t)
-			if t.OnFinalAttempt() && !m.empty() {
-				tries.countFinalAttempt()
+			if t.OnFinalAttempt() && !free.empty() {
+				summary.countFinalAttempt()
 			}
-			p.assume(t, m, t.Run+1)
-			f.updateRating(m)
+			p.assume(t, free, t.Run+1)
+			sr.updateRating(free)
 		case t.OnFinalAttempt():
 			if p.engine.enabled(ReserveForStanding) {
-				p.reserveForStanding(t, rooms)
-				tries.countFinalAttempt()
+				p.reserveForStanding(t, candidates)
+				summary.countFinalAttempt()
 			}
 		case s.Standing() && t.Run > 0:
 			if p.engine.enabled(ReserveForStanding) {
-				p.reserveForStanding(t, rooms)
+				p.reserveForStanding(t, candidates)
 			}
-		case f.exhausted():
+		case sr.exhausted():
 			return false
 		}
 	}
@@ -213,67 +213,67 @@
 // if the queue no longer exists.
 func (e *Engine) poolOf(j *graph.Job) string { return e.currentPool(j.Queue, j.Pool) }
 
-func (e *Engine) currentPool(queue, accepted string) string {
+func (e *Engine) currentPool(queue, fallback string) string {
 	if q := e.graph.Queue(queue); q != nil {
 		return q.Pool
 	}
-	return accepted
+	return fallback
 }
 
-func (p *pass) assume(t *graph.Task, m *freeResources, number uint32) {
-	m.assume(t)
-	if known := p.summaries[p.engine.poolOf(t.Stage.Job)]; known != nil {
-		known.assume(t.Stage)
+func (p *pass) assume(t *graph.Task, free *freeResources, number uint32) {
+	free.assume(t)
+	if summary := p.summaries[p.engine.poolOf(t.Stage.Job)]; summary != nil {
+		summary.assume(t.Stage)
 	}
-	p.recordColocated(t.Stage, m)
+	p.recordColocated(t.Stage, free)
 	id := t.ID()
 	id.Run = number
-	p.placed = append(p.placed, &wire.RunPlacement{Id: id, Agent: m.agent.record.Id})
+	p.placed = append(p.placed, &wire.RunPlacement{Id: id, Agent: free.agent.record.Id})
 }
 
 // recordColocated updates the expected utilization of the standing tasks on an agent for
 // a newly placed task.
-func (p *pass) recordColocated(s *graph.Stage, m *freeResources) {
+func (p *pass) recordColocated(s *graph.Stage, free *freeResources) {
 	step := s.Step
 	if step.TailTargetMs == 0 && !step.Opportunistic {
 		return
 	}
-	p.engine.predictTails(m)
+	p.engine.predictTails(free)
 	if step.TailTargetMs > 0 {
-		m.latencyTasks = append(m.latencyTasks, p.engine.newLatencyTask(latencyTargetOf(step), defaultUtilization))
+		free.latencyTasks = append(free.latencyTasks, p.engine.newLatencyTask(latencyTargetOf(step), defaultUtilization))
 	}
 	if !step.Opportunistic {
 		return
 	}
-	share := m.agent.cpuShare(float64(step.CpuMillis) * defaultUseShare)
-	for i := range m.latencyTasks {
-		m.latencyTasks[i].expectedUtilization += p.engine.tailModel.Weight(m.latencyTasks[i].image, step.Image) * share
+	share := free.agent.cpuShare(float64(step.CpuMillis) * defaultUseShare)
+	for i := range free.latencyTasks {
+		free.latencyTasks[i].expectedUtilization += p.engine.tailModel.Weight(free.latencyTasks[i].image, step.Image) * share
 	}
 }
 
 // cost rates an agent for the tasks of a stage; lower is better. The unit is the task's
 // run time on a healthy agent in the rack of its data.
-func (p *pass) cost(s *graph.Stage, m *freeResources) float64 {
+func (p *pass) cost(s *graph.Stage, free *freeResources) float64 {
 	step := s.Step
-	cost := p.engine.estimates.expectedSlowdown(m.agent.record.Id)
-	if step.DataRack != "" && step.DataRack != m.agent.record.Rack {
+	cost := p.engine.estimates.expectedSlowdown(free.agent.record.Id)
+	if step.DataRack != "" && step.DataRack != free.agent.record.Rack {
 		cost *= p.engine.options.OtherRackFactor
 	}
 	if step.Opportunistic {
-		adds, bearable := p.interference(s, m)
-		if !bearable {
+		added, acceptable := p.interference(s, free)
+		if !acceptable {
 			return math.Inf(1)
 		}
-		return cost + adds*interferenceCost - m.reclaimable/max(m.capacityMillis, 1)
+		return cost + added*interferenceCost - free.reclaimable/max(free.capacityMillis, 1)
 	}
 	if step.Standing {
 		// Standing tasks with the same image suffer from the same colocated images.
 		// Grouping them leaves agents for every kind of opportunistic work.
-		alike := float64(m.standingByImage[step.Image]) / float64(m.standing+1)
+		similar := float64(free.standingByImage[step.Image]) / float64(free.standing+1)
 		if !p.engine.enabled(GroupSimilar) {
-			alike = 0
+			similar = 0
 		}
-		return cost - similarityGain*alike - m.cpuMillis/max(m.capacityMillis, 1)
+		return cost - similarityGain*similar - free.cpuMillis/max(free.capacityMillis, 1)
 	}
-	return cost - 0.5*m.cpuMillis/max(m.capacityMillis, 1)
+	return cost - 0.5*free.cpuMillis/max(free.capacityMillis, 1)
 }
--- a/internal/sched/drive/poll.go
+++ b/internal/sched/drive/poll.go
@@ -31,15 +31,15 @@
 // only polls of agents with runs that end by themselves wait. The others are polled
 // equally often with a pause in between, during which other agents use the connection.
 // Otherwise agents without a connection would lose their leases.
-func (e *Engine) planPoll(at *agent) pollPlan {
+func (e *Engine) planPoll(a *agent) pollPlan {
 	interval := maxPollWait
 	switch {
-	case !at.synced || at.failedPolls > 0:
+	case !a.synced || a.failedPolls > 0:
 		return pollPlan{}
-	case at.hasLatencyTargets:
+	case a.hasLatencyTargets:
 		interval = min(max(tailPollWait, time.Duration(len(e.agents))*time.Second/maxTailPollsPerSecond), maxPollWait)
 	}
-	if !e.connectionsLimited() || at.expectsCompletion() && e.longPolls < e.maxLongPolls() {
+	if !e.connectionsLimited() || a.expectsCompletion() && e.longPolls < e.maxLongPolls() {
 		return pollPlan{wait: interval}
 	}
 	return pollPlan{pause: interval}
@@ -53,9 +53,9 @@
 func (e *Engine) maxLongPolls() int { return int(float64(e.options.MaxConnections) * longPollShare) }
 
 // expectsCompletion reports whether a run on the agent is going to end by itself.
-func (r *agent) expectsCompletion() bool {
-	for _, known := range r.sortedRuns {
-		if !known.task.Stage.Standing() {
+func (a *agent) expectsCompletion() bool {
+	for _, r := range a.sortedRuns {
+		if !r.task.Stage.Standing() {
 			return true
 		}
 	}
--- a/internal/sched/drive/queue.go
+++ b/internal/sched/drive/queue.go
@@ -29,12 +29,12 @@
 	classes             map[taskClass]int
 }
 
-func (l *pendingQueue) empty() bool { return len(l.sorted)+len(l.newlySorted) == 0 }
+func (q *pendingQueue) empty() bool { return len(q.sorted)+len(q.newlySorted) == 0 }
 
 // each calls f for each stage in order until f returns false. Stages without tasks left
 // to place are skipped.
-func (l *pendingQueue) each(f func(*rankedStage) bool) {
-	sorted, added := l.sorted, l.newlySorted
+func (q *pendingQueue) each(f func(*rankedStage) bool) {
+	sorted, added := q.sorted, q.newlySorted
 	for len(sorted)+len(added) > 0 {
 		var next *rankedStage
 		if len(added) == 0 || len(sorted) > 0 && sorted[0].before(&added[0]) {
@@ -49,24 +49,24 @@
 }
 
 // classNumber numbers the task classes.
-func (l *pendingQueue) classNumber(k taskClass) int {
-	n, known := l.classes[k]
+func (q *pendingQueue) classNumber(class taskClass) int {
+	n, known := q.classes[class]
 	if !known {
-		n = len(l.classes)
-		l.classes[k] = n
+		n = len(q.classes)
+		q.classes[class] = n
 	}
 	return n
 }
 
 // updateQueue rebuilds the queue or merges the newly ready stages.
 func (e *Engine) updateQueue(wall time.Time) {
-	fresh := e.newlyReady
+	newlyReady := e.newlyReady
 	e.newlyReady = nil
 	if e.now >= e.queue.rebuildAt {
 		e.rebuildQueue(e.graph.ReadyStages(), wall)
 		return
 	}
-	for _, s := range fresh {
+	for _, s := range newlyReady {
 		if s.Ready() && !e.queue.listed[s] && !s.Due.After(wall) {
 			e.recordReady(s)
 			e.queue.listed[s] = true
--- a/internal/sched/drive/registration.go
+++ b/internal/sched/drive/registration.go
@@ -39,59 +39,59 @@
 // sequence of completions, the clock and the lease of one process apart from those of
 // another. With one id for all, completions would be acknowledged that no leader has
 // read, and an agent that came back after its lease had expired would be refused forever.
-func (e *Engine) registration(told *wire.Agent) (*wire.Agent, error) {
-	first := e.graph.Agent(told.Id)
+func (e *Engine) registration(reported *wire.Agent) (*wire.Agent, error) {
+	first := e.graph.Agent(reported.Id)
 	switch {
-	case told.Incarnation == 0 && first != nil && first.Record.Incarnation != 0:
+	case reported.Incarnation == 0 && first != nil && first.Record.Incarnation != 0:
 		return nil, errIncarnationMissing
-	case told.Incarnation == 0 && first != nil:
-		return told, nil
-	case first != nil && first.Record.Incarnation == told.Incarnation:
-		return told, nil
+	case reported.Incarnation == 0 && first != nil:
+		return reported, nil
+	case first != nil && first.Record.Incarnation == reported.Incarnation:
+		return reported, nil
 	case first != nil && first.Record.Incarnation == 0:
-		same, err := e.isRegisteredProcess(told)
+		same, err := e.isRegisteredProcess(reported)
 		if err != nil || same {
-			return told, err
+			return reported, err
 		}
 	}
-	if id := successorID(told, 1); e.graph.Agent(id) != nil {
-		return withID(told, id), nil
+	if id := successorID(reported, 1); e.graph.Agent(id) != nil {
+		return withID(reported, id), nil
 	}
-	return e.newRegistration(told)
+	return e.newRegistration(reported)
 }
 
 // isRegisteredProcess reports whether the process that is registered without its
 // incarnation has answered this leader with the incarnation of a report.
-func (e *Engine) isRegisteredProcess(told *wire.Agent) (bool, error) {
-	at := e.agents[told.Id]
-	if at == nil || !at.synced {
+func (e *Engine) isRegisteredProcess(reported *wire.Agent) (bool, error) {
+	a := e.agents[reported.Id]
+	if a == nil || !a.synced {
 		return false, errIncarnationUnknown
 	}
-	return at.incarnation == told.Incarnation, nil
+	return a.incarnation == reported.Incarnation, nil
 }
 
 // newRegistration returns the record of a process that isn't registered under its regular
 // ids: under the first unused id, unless the process or a successor is registered. A
 // process that was dropped while unreachable comes back this way. All leases that were
 // sent to it have expired, so it can't execute an old start any more.
-func (e *Engine) newRegistration(told *wire.Agent) (*wire.Agent, error) {
+func (e *Engine) newRegistration(reported *wire.Agent) (*wire.Agent, error) {
 	for _, other := range e.graph.Agents() {
 		switch r := other.Record; {
-		case agentName(r) != told.Id || r.Incarnation < told.Incarnation:
-		case told.Incarnation == 0:
+		case agentName(r) != reported.Id || r.Incarnation < reported.Incarnation:
+		case reported.Incarnation == 0:
 			return nil, errIncarnationMissing
-		case r.Incarnation == told.Incarnation:
-			return withID(told, r.Id), nil
+		case r.Incarnation == reported.Incarnation:
+			return withID(reported, r.Id), nil
 		default:
 			return nil, nil
 		}
 	}
-	if told.Incarnation == 0 || e.idUnused(told.Id) {
-		return told, nil
+	if reported.Incarnation == 0 || e.idUnused(reported.Id) {
+		return reported, nil
 	}
 	for n := 1; ; n++ {
-		if id := successorID(told, n); e.idUnused(id) {
-			return withID(told, id), nil
+		if id := successorID(reported, n); e.idUnused(id) {
+			return withID(reported, id), nil
 		}
 	}
 }
@@ -102,49 +102,49 @@
 
 // successorID returns the id of a process whose agent's own id is taken. Numbers above 1
 // are for a process that was dropped and came back.
-func successorID(told *wire.Agent, n int) string {
+func successorID(reported *wire.Agent, n int) string {
 	if n > 1 {
-		return fmt.Sprintf("%s@%d.%d", told.Id, told.Incarnation, n)
+		return fmt.Sprintf("%s@%d.%d", reported.Id, reported.Incarnation, n)
 	}
-	return fmt.Sprintf("%s@%d", told.Id, told.Incarnation)
+	return fmt.Sprintf("%s@%d", reported.Id, reported.Incarnation)
 }
 
-func withID(told *wire.Agent, id string) *wire.Agent {
-	if id == told.Id {
-		return told
+func withID(reported *wire.Agent, id string) *wire.Agent {
+	if id == reported.Id {
+		return reported
 	}
-	record := proto.Clone(told).(*wire.Agent)
-	record.Id, record.Name = id, told.Id
+	record := proto.Clone(reported).(*wire.Agent)
+	record.Id, record.Name = id, reported.Id
 	return record
 }
 
 // precedes reports whether other is a later process of the same agent.
-func (r *agent) precedes(other *agent) bool {
-	return agentName(r.record) == agentName(other.record) && r.incarnation < other.incarnation
+func (a *agent) precedes(other *agent) bool {
+	return agentName(a.record) == agentName(other.record) && a.incarnation < other.incarnation
 }
 
 // sameIncarnation reports whether an answer may come from the given process. If it was
 // registered without its incarnation, the first answer determines it.
-func (e *Engine) sameIncarnation(at *agent, a Answer) bool {
-	if a.Verdict != Accepted || a.Incarnation == 0 || a.Incarnation == at.incarnation {
+func (e *Engine) sameIncarnation(a *agent, ans Answer) bool {
+	if ans.Verdict != Accepted || ans.Incarnation == 0 || ans.Incarnation == a.incarnation {
 		return true
 	}
-	if at.incarnation != 0 || at.synced {
+	if a.incarnation != 0 || a.synced {
 		return false
 	}
-	later := successorID(&wire.Agent{Id: at.record.Id, Incarnation: a.Incarnation}, 1)
+	later := successorID(&wire.Agent{Id: a.record.Id, Incarnation: ans.Incarnation}, 1)
 	if e.graph.Agent(later) != nil {
 		return false // the answering process has its own registration
 	}
-	at.incarnation = a.Incarnation
+	a.incarnation = ans.Incarnation
 	return true
 }
 
 // handleGone drops an agent that has shut down. The notice doesn't identify the process;
 // it is taken to be the one that announced leaving. If there is none, the notice is a
 // late one of an earlier process and must not end the runs of the current one.
-func (e *Engine) handleGone(told *wire.Agent, done func(error)) {
-	gone := e.goneProcess(told.Id)
+func (e *Engine) handleGone(reported *wire.Agent, done func(error)) {
+	gone := e.goneProcess(reported.Id)
 	if gone == nil {
 		done(nil)
 		return
--- a/internal/sched/drive/report.go
+++ b/internal/sched/drive/report.go
@@ -39,30 +39,30 @@
 		done(nil) // sent before the agent was dropped
 		return
 	}
-	known := e.graph.Agent(record.Id)
-	if !e.registrable(known, record) {
+	registered := e.graph.Agent(record.Id)
+	if !e.registrable(registered, record) {
 		reportsIgnored.Inc()
 		done(nil)
 		return
 	}
-	r := e.agents[record.Id]
-	if r != nil {
-		if report.Sequence != 0 && report.Sequence < r.reportSequence {
+	a := e.agents[record.Id]
+	if a != nil {
+		if report.Sequence != 0 && report.Sequence < a.reportSequence {
 			done(nil)
 			return
 		}
-		r.reportSequence = max(r.reportSequence, report.Sequence)
+		a.reportSequence = max(a.reportSequence, report.Sequence)
 		if record.Leaving && report.Remaining != nil {
-			r.leavesAt = now + report.Remaining.AsDuration()
+			a.leavesAt = now + report.Remaining.AsDuration()
 		}
 	}
-	if known != nil && sameAgent(known.Record, record) {
+	if registered != nil && sameAgent(registered.Record, record) {
 		e.markReported(record.Id)
 		done(nil)
 		return
 	}
 	e.options.Logger.Info("agent reported", "agent", record.Id, "address", record.Address, "pool", record.Pool,
-		"failure_domain", record.FailureDomain, "leaving", record.Leaving, "incarnation", record.Incarnation, "new", known == nil)
+		"failure_domain", record.FailureDomain, "leaving", record.Leaving, "incarnation", record.Incarnation, "new", registered == nil)
 	e.commitReport(&wire.WorkCommand{Body: &wire.WorkCommand_PutAgent{PutAgent: record}}, func(err error) {
 		if err == nil {
 			e.markReported(record.Id)
@@ -76,7 +76,7 @@
 // used.
 func (e *Engine) logStaleReport(record *wire.Agent) {
 	staleReports.Inc()
-	if known, logged := e.ignoredReports[record.Id]; logged && known == record.Incarnation {
+	if lastLogged, logged := e.ignoredReports[record.Id]; logged && lastLogged == record.Incarnation {
 		return
 	}
 	e.ignoredReports[record.Id] = record.Incarnation
@@ -85,8 +85,8 @@
 
 // markReported records that the state includes a heartbeat received by this leader.
 func (e *Engine) markReported(id string) {
-	if at := e.agents[id]; at != nil {
-		at.reported = true
+	if a := e.agents[id]; a != nil {
+		a.reported = true
 	}
 }
 
@@ -101,27 +101,27 @@
 	if err != nil || record == nil {
 		return false
 	}
-	known := e.graph.Agent(record.Id)
-	return known != nil && sameAgent(known.Record, record)
+	registered := e.graph.Agent(record.Id)
+	return registered != nil && sameAgent(registered.Record, record)
 }
 
 // registrable reports whether an agent may be registered or updated. Its pool has to be
 // in the catalog, so that heartbeats can't fill the state and the log with agents that
 // nothing runs on; it is accepted with a later heartbeat once the pool exists. The
 // address and pool of an incarnation are fixed.
-func (e *Engine) registrable(known *graph.Agent, told *wire.Agent) bool {
-	if known == nil {
-		return e.graph.Pool(told.Pool) != nil
+func (e *Engine) registrable(registered *graph.Agent, reported *wire.Agent) bool {
+	if registered == nil {
+		return e.graph.Pool(reported.Pool) != nil
 	}
-	return known.Record.Address == told.Address && known.Record.Pool == told.Pool
+	return registered.Record.Address == reported.Address && registered.Record.Pool == reported.Pool
 }
 
-func sameAgent(known, told *wire.Agent) bool {
-	if known.Leaving && !told.Leaving {
-		told = proto.Clone(told).(*wire.Agent)
-		told.Leaving = true
+func sameAgent(registered, reported *wire.Agent) bool {
+	if registered.Leaving && !reported.Leaving {
+		reported = proto.Clone(reported).(*wire.Agent)
+		reported.Leaving = true
 	}
-	return proto.Equal(known, told)
+	return proto.Equal(registered, reported)
 }
 
 func (e *Engine) commitReport(command *wire.WorkCommand, done func(error)) {
--- a/internal/sched/drive/reserve.go
+++ b/internal/sched/drive/reserve.go
@@ -34,19 +34,19 @@
 // occupy all the capacity that is free for a moment, and urgent short tasks would starve.
 func (p *pass) leavesReserve(s *graph.Stage) bool {
 	pool := p.engine.poolOf(s.Job)
-	left := p.summaries[pool]
-	return left != nil && left.freeMillis-float64(s.Step.CpuMillis) >= p.engine.ordinaryReserve(pool, left.capacityMillis)
+	summary := p.summaries[pool]
+	return summary != nil && summary.freeMillis-float64(s.Step.CpuMillis) >= p.engine.ordinaryReserve(pool, summary.capacityMillis)
 }
 
 // ordinaryReserve returns the CPU to reserve for the ordinary tasks of a pool with the
 // given capacity. A new deployment gets an initial reserve, as all of its standing tasks
 // may be submitted before the first ordinary ones.
-func (e *Engine) ordinaryReserve(pool string, processors float64) float64 {
-	need := e.ordinaryDemand[pool] * reserveFactor
+func (e *Engine) ordinaryReserve(pool string, capacityMillis float64) float64 {
+	reserve := e.ordinaryDemand[pool] * reserveFactor
 	if since, seen := e.ordinarySince[pool]; !seen || e.now-since < initialReservePeriod {
-		need = max(need, processors*initialReserveShare)
+		reserve = max(reserve, capacityMillis*initialReserveShare)
 	}
-	return min(need, processors*maxReserveShare)
+	return min(reserve, capacityMillis*maxReserveShare)
 }
 
 // updateOrdinaryDemand updates the recent peak demand of ordinary tasks by pool, running
@@ -59,18 +59,18 @@
 	if e.ordinaryDemand == nil {
 		e.ordinaryDemand, e.ordinarySince = map[string]float64{}, map[string]time.Duration{}
 	}
-	need := map[string]float64{}
+	demand := map[string]float64{}
 	for _, s := range stages {
 		if !s.Step.Opportunistic && !s.Standing() {
-			need[e.poolOf(s.Job)] += float64(s.Step.CpuMillis) * float64(s.Unplaced)
+			demand[e.poolOf(s.Job)] += float64(s.Step.CpuMillis) * float64(s.Unplaced)
 		}
 	}
 	for key, load := range e.runningCPU {
 		if key.ordinary {
-			need[e.currentPool(key.queue, key.pool)] += load
+			demand[e.currentPool(key.queue, key.pool)] += load
 		}
 	}
-	for pool, n := range need {
+	for pool, n := range demand {
 		if _, seen := e.ordinarySince[pool]; !seen && n > 0 {
 			e.ordinarySince[pool] = e.now
 		}
@@ -81,7 +81,7 @@
 	}
 	e.nextDemandDecay = e.now + demandDecayInterval
 	for pool := range e.ordinaryDemand {
-		e.ordinaryDemand[pool] = max(need[pool], e.ordinaryDemand[pool]*demandDecay)
+		e.ordinaryDemand[pool] = max(demand[pool], e.ordinaryDemand[pool]*demandDecay)
 	}
 }
 
@@ -89,18 +89,18 @@
 // on its final attempt: nothing else is placed there until the task fits. Otherwise short
 // tasks would fill each gap before it is large enough. The agent stays the same over all
 // passes.
-func (p *pass) reserveForStanding(t *graph.Task, rooms []*freeResources) {
+func (p *pass) reserveForStanding(t *graph.Task, candidates []*freeResources) {
 	var best *freeResources
-	for _, m := range rooms {
-		if m.reservedFor != nil || !m.fitsExceptCPU(t.Stage) || m.cpuMillis+m.ordinaryMillis < float64(t.Stage.Step.CpuMillis) {
+	for _, free := range candidates {
+		if free.reservedFor != nil || !free.fitsExceptCPU(t.Stage) || free.cpuMillis+free.ordinaryMillis < float64(t.Stage.Step.CpuMillis) {
 			continue
 		}
-		if m.agent.record.Id == p.engine.reservations[t] {
-			best = m
+		if free.agent.record.Id == p.engine.reservations[t] {
+			best = free
 			break
 		}
-		if best == nil || m.cpuMillis+m.ordinaryMillis > best.cpuMillis+best.ordinaryMillis {
-			best = m
+		if best == nil || free.cpuMillis+free.ordinaryMillis > best.cpuMillis+best.ordinaryMillis {
+			best = free
 		}
 	}
 	if best == nil {
--- a/internal/sched/drive/resources.go
+++ b/internal/sched/drive/resources.go
@@ -60,9 +60,9 @@
 	}
 	for pool, agents := range e.agentsByPool {
 		list := e.freeByPool[pool][:0]
-		for _, at := range agents {
-			if e.schedulable(at) {
-				list = append(list, e.freeResourcesOf(at))
+		for _, a := range agents {
+			if e.schedulable(a) {
+				list = append(list, e.freeResourcesOf(a))
 			}
 		}
 		e.freeByPool[pool] = list
@@ -72,148 +72,148 @@
 
 func (e *Engine) groupAgentsByPool() {
 	e.agentsByPool, e.freeByPool = map[string][]*agent{}, map[string][]*freeResources{}
-	for _, at := range e.agentsByID() {
-		e.agentsByPool[at.record.Pool] = append(e.agentsByPool[at.record.Pool], at)
+	for _, a := range e.agentsByID() {
+		e.agentsByPool[a.record.Pool] = append(e.agentsByPool[a.record.Pool], a)
 	}
 }
 
 // freeResourcesOf returns the free resources of an agent. They are recomputed if
 // something has changed there, or if the cached ones have reached freeMaxAge.
-func (e *Engine) freeResourcesOf(at *agent) *freeResources {
-	if at.freeStale || e.now-at.freeAt >= freeMaxAge {
-		e.recomputeFree(at)
-		at.freeStale, at.freeAt = false, e.now
+func (e *Engine) freeResourcesOf(a *agent) *freeResources {
+	if a.freeStale || e.now-a.freeAt >= freeMaxAge {
+		e.recomputeFree(a)
+		a.freeStale, a.freeAt = false, e.now
 	}
-	at.free.reservedFor = nil
-	return &at.free
+	a.free.reservedFor = nil
+	return &a.free
 }
 
 // recomputeFree computes the free resources of an agent. Every run that may exist counts,
 // whatever its phase.
-func (e *Engine) recomputeFree(at *agent) {
-	c := at.record
-	m := &at.free
-	if m.tasksByStage == nil {
-		m.tasksByStage, m.standingByImage = map[*graph.Stage]int{}, map[string]int{}
-	}
-	clear(m.tasksByStage)
-	clear(m.standingByImage)
-	*m = freeResources{
-		agent: at, cpuMillis: float64(c.CpuMillis), memoryMB: float64(c.MemoryMb), accelerators: float64(c.Accelerators),
-		reclaimable: float64(c.CpuMillis) * maxUtilization, capacityMillis: float64(c.CpuMillis),
-		tasksByStage: m.tasksByStage, standingByImage: m.standingByImage, latencyTasks: m.latencyTasks[:0],
-	}
-	for _, known := range at.sortedRuns {
-		m.reserve(known.task.Stage)
-		m.reclaimable -= e.claimedCPU(known)
-		m.recordCrashRisk(known.task, known.confirmedFor())
+func (e *Engine) recomputeFree(a *agent) {
+	record := a.record
+	free := &a.free
+	if free.tasksByStage == nil {
+		free.tasksByStage, free.standingByImage = map[*graph.Stage]int{}, map[string]int{}
+	}
+	clear(free.tasksByStage)
+	clear(free.standingByImage)
+	*free = freeResources{
+		agent: a, cpuMillis: float64(record.CpuMillis), memoryMB: float64(record.MemoryMb), accelerators: float64(record.Accelerators),
+		reclaimable: float64(record.CpuMillis) * maxUtilization, capacityMillis: float64(record.CpuMillis),
+		tasksByStage: free.tasksByStage, standingByImage: free.standingByImage, latencyTasks: free.latencyTasks[:0],
+	}
+	for _, r := range a.sortedRuns {
+		free.reserve(r.task.Stage)
+		free.reclaimable -= e.claimedCPU(r)
+		free.recordCrashRisk(r.task, r.confirmedFor())
 	}
 }
 
 // predictTails fills in the expected utilization of the standing tasks on an agent,
 // assuming that all colocated tasks run unthrottled.
-func (e *Engine) predictTails(m *freeResources) {
-	if m.tailsPredicted {
+func (e *Engine) predictTails(free *freeResources) {
+	if free.tailsPredicted {
 		return
 	}
-	m.tailsPredicted = true
-	beside := tails.Load{}
-	for _, r := range m.agent.sortedRuns {
+	free.tailsPredicted = true
+	colocated := tails.Load{}
+	for _, r := range free.agent.sortedRuns {
 		if step := r.task.Stage.Step; step.Opportunistic && r.stopReason == "" {
-			beside[step.Image] += r.unthrottledShare()
+			colocated[step.Image] += r.unthrottledShare()
 		}
 	}
-	for _, r := range m.agent.sortedRuns {
+	for _, r := range free.agent.sortedRuns {
 		if r.task.Stage.Step.TailTargetMs == 0 {
 			continue
 		}
 		target := latencyTargetOf(r.task.Stage.Step)
-		own := defaultUtilization
+		baseline := defaultUtilization
 		if r.baseline.Valid {
-			own = e.peakBaselineOf(r)
+			baseline = e.peakBaselineOf(r)
 		}
-		m.latencyTasks = append(m.latencyTasks, e.newLatencyTask(target, own+e.tailModel.Interference(target.Image, beside)))
+		free.latencyTasks = append(free.latencyTasks, e.newLatencyTask(target, baseline+e.tailModel.Interference(target.Image, colocated)))
 	}
 }
 
 // newLatencyTask returns a standing task with an expected utilization of busy.
-func (e *Engine) newLatencyTask(target tails.Target, busy float64) latencyTask {
-	return latencyTask{image: target.Image, expectedUtilization: busy, utilizationLimit: e.tailModel.Utilization(target, target.Milliseconds*throttleGoalShare)}
+func (e *Engine) newLatencyTask(target tails.Target, utilization float64) latencyTask {
+	return latencyTask{image: target.Image, expectedUtilization: utilization, utilizationLimit: e.tailModel.Utilization(target, target.Milliseconds*throttleGoalShare)}
 }
 
 // interference returns how much a task would add to the utilization of the standing tasks
 // on an agent, and whether all of them are expected to stay below their limits.
-func (p *pass) interference(s *graph.Stage, m *freeResources) (adds float64, bearable bool) {
-	p.engine.predictTails(m)
-	share := m.agent.cpuShare(float64(s.Step.CpuMillis) * defaultUseShare)
-	bearable = true
-	for _, v := range m.latencyTasks {
-		more := p.engine.tailModel.Weight(v.image, s.Step.Image) * share
-		adds += more
-		bearable = bearable && (v.expectedUtilization+more <= v.utilizationLimit || more < minInterference)
-	}
-	return adds, bearable
+func (p *pass) interference(s *graph.Stage, free *freeResources) (added float64, acceptable bool) {
+	p.engine.predictTails(free)
+	share := free.agent.cpuShare(float64(s.Step.CpuMillis) * defaultUseShare)
+	acceptable = true
+	for _, task := range free.latencyTasks {
+		increase := p.engine.tailModel.Weight(task.image, s.Step.Image) * share
+		added += increase
+		acceptable = acceptable && (task.expectedUtilization+increase <= task.utilizationLimit || increase < minInterference)
+	}
+	return added, acceptable
 }
 
 // assume reserves the resources of a task for this pass, until its placement is
 // committed.
-func (m *freeResources) assume(t *graph.Task) {
-	m.agent.freeStale = true
-	m.reserve(t.Stage)
-	m.recordCrashRisk(t, 0)
-	m.reclaimable -= defaultCPU(t.Stage.Step)
+func (free *freeResources) assume(t *graph.Task) {
+	free.agent.freeStale = true
+	free.reserve(t.Stage)
+	free.recordCrashRisk(t, 0)
+	free.reclaimable -= defaultCPU(t.Stage.Step)
 }
 
 // overcommitted reports whether the runs on the agent request more than its capacity,
 // which may have shrunk since they were placed. An agent that doesn't enforce its
 // capacity must not be sent further starts then.
-func (m *freeResources) overcommitted() bool {
-	return m.cpuMillis < 0 || m.memoryMB < 0 || m.accelerators < 0
+func (free *freeResources) overcommitted() bool {
+	return free.cpuMillis < 0 || free.memoryMB < 0 || free.accelerators < 0
 }
 
 // reserve subtracts the requested resources of one task of a stage.
-func (m *freeResources) reserve(s *graph.Stage) {
+func (free *freeResources) reserve(s *graph.Stage) {
 	step := s.Step
 	cpu := float64(step.CpuMillis)
 	switch {
 	case step.Opportunistic:
 	case step.Standing:
-		m.cpuMillis -= cpu
-		m.standing++
-		m.standingByImage[step.Image]++
+		free.cpuMillis -= cpu
+		free.standing++
+		free.standingByImage[step.Image]++
 	default:
-		m.cpuMillis -= cpu
-		m.ordinaryMillis += cpu
+		free.cpuMillis -= cpu
+		free.ordinaryMillis += cpu
 	}
-	m.memoryMB -= float64(step.MemoryMb)
-	m.accelerators -= float64(step.Accelerators)
-	m.tasksByStage[s]++
+	free.memoryMB -= float64(step.MemoryMb)
+	free.accelerators -= float64(step.Accelerators)
+	free.tasksByStage[s]++
 }
 
 // fits reports whether a task of the stage may be placed here.
-func (m *freeResources) fits(s *graph.Stage) bool {
+func (free *freeResources) fits(s *graph.Stage) bool {
 	step := s.Step
 	switch {
-	case m.finalAttempt || m.reservedFor != nil && m.reservedFor != s:
+	case free.finalAttempt || free.reservedFor != nil && free.reservedFor != s:
 		return false
-	case !step.Opportunistic && m.cpuMillis < float64(step.CpuMillis):
+	case !step.Opportunistic && free.cpuMillis < float64(step.CpuMillis):
 		return false
-	case step.Opportunistic && (m.reclaimable < defaultCPU(step) || m.agent.opportunisticHalted):
+	case step.Opportunistic && (free.reclaimable < defaultCPU(step) || free.agent.opportunisticHalted):
 		return false
 	default:
-		return m.fitsExceptCPU(s)
+		return free.fitsExceptCPU(s)
 	}
 }
 
 // fitsExceptCPU reports whether a task of the stage may be placed here, given enough CPU.
-func (m *freeResources) fitsExceptCPU(s *graph.Stage) bool {
+func (free *freeResources) fitsExceptCPU(s *graph.Stage) bool {
 	step := s.Step
 	switch {
-	case m.memoryMB < float64(step.MemoryMb) || m.accelerators < float64(step.Accelerators):
+	case free.memoryMB < float64(step.MemoryMb) || free.accelerators < float64(step.Accelerators):
 		return false
-	case step.SpreadLimit > 0 && m.tasksByStage[s] >= int(step.SpreadLimit):
+	case step.SpreadLimit > 0 && free.tasksByStage[s] >= int(step.SpreadLimit):
 		return false
-	case step.RequiredLabel != "" && !hasLabel(m.agent.record, step.RequiredLabel):
+	case step.RequiredLabel != "" && !hasLabel(free.agent.record, step.RequiredLabel):
 		return false
 	default:
 		return true
--- a/internal/sched/drive/risk.go
+++ b/internal/sched/drive/risk.go
@@ -36,7 +36,7 @@
 }
 
 // empty reports whether the agent has no runs, started or about to start.
-func (m *freeResources) empty() bool { return len(m.agent.runs) == 0 && m.unconfirmed == 0 }
+func (free *freeResources) empty() bool { return len(free.agent.runs) == 0 && free.unconfirmed == 0 }
 
 // allowsFinalAttempt reports whether another agent of the pool may be used for a final
 // attempt.
@@ -52,29 +52,29 @@
 }
 
 // recordCrashRisk records whether a run may crash the agent, or be blamed for a crash.
-func (m *freeResources) recordCrashRisk(t *graph.Task, seenFor time.Duration) {
-	if seenFor == 0 {
-		m.unconfirmed++
+func (free *freeResources) recordCrashRisk(t *graph.Task, confirmedFor time.Duration) {
+	if confirmedFor == 0 {
+		free.unconfirmed++
 	}
-	if t.Suspect() && seenFor < startWindow {
-		m.suspects++
+	if t.Suspect() && confirmedFor < startWindow {
+		free.suspects++
 	}
-	if t.OnFinalAttempt() && seenFor < finalAttemptWindow(t) {
-		m.finalAttempt = true
+	if t.OnFinalAttempt() && confirmedFor < finalAttemptWindow(t) {
+		free.finalAttempt = true
 	}
 }
 
 // crashCost returns the cost of placing a task here with regard to crashes. The final
 // attempt of a task decides whether its job fails, so it is not placed next to a run that
 // might be the cause instead, and fits rejects all other tasks until it is over.
-func (m *freeResources) crashCost(t *graph.Task) float64 {
+func (free *freeResources) crashCost(t *graph.Task) float64 {
 	switch {
 	case !t.Suspect():
 		return 0
-	case t.OnFinalAttempt() && m.suspects+m.unconfirmed > 0:
+	case t.OnFinalAttempt() && free.suspects+free.unconfirmed > 0:
 		return math.Inf(1)
 	default:
-		taken := 1 - m.cpuMillis/max(m.capacityMillis, 1)
-		return float64(m.suspects)*colocatedSuspectCost + float64(m.unconfirmed)*colocatedUnconfirmedCost + occupancyCost*taken
+		taken := 1 - free.cpuMillis/max(free.capacityMillis, 1)
+		return float64(free.suspects)*colocatedSuspectCost + float64(free.unconfirmed)*colocatedUnconfirmedCost + occupancyCost*taken
 	}
 }
--- a/internal/sched/drive/run.go
+++ b/internal/sched/drive/run.go
@@ -234,36 +234,36 @@
 	r.stopReason = reason
 }
 
-func (e *Engine) findRun(r *agent, id *wire.RunId) *run {
+func (e *Engine) findRun(a *agent, id *wire.RunId) *run {
 	t := e.graph.FindTask(id)
-	known := e.runs[t]
-	if t == nil || known == nil || known.agent != r || known.number != id.Run {
+	r := e.runs[t]
+	if t == nil || r == nil || r.agent != a || r.number != id.Run {
 		return nil
 	}
-	return known
+	return r
 }
 
-func (e *Engine) handleStartAnswer(at *agent, a Answer) {
-	r := e.findRun(at, a.Order.Run)
+func (e *Engine) handleStartAnswer(a *agent, ans Answer) {
+	r := e.findRun(a, ans.Order.Run)
 	if r == nil {
 		return
 	}
-	if a.Verdict != NoAnswer {
+	if ans.Verdict != NoAnswer {
 		r.startsAnswered++
 	}
 	if r.phase == phaseRunning || r.phase == phaseClosed || r.endPending {
 		return
 	}
-	if a.Verdict != Accepted {
-		e.options.Logger.Info("start refused or unanswered", "job", a.Order.Run.Job, "step", a.Order.Run.Step, "index", a.Order.Run.Index,
-			"run", r.number, "agent", at.record.Id, "verdict", a.Verdict.String(), "detail", a.Detail, "sends", r.startsSent)
+	if ans.Verdict != Accepted {
+		e.options.Logger.Info("start refused or unanswered", "job", ans.Order.Run.Job, "step", ans.Order.Run.Step, "index", ans.Order.Run.Index,
+			"run", r.number, "agent", a.record.Id, "verdict", ans.Verdict.String(), "detail", ans.Detail, "sends", r.startsSent)
 	}
-	switch a.Verdict {
+	switch ans.Verdict {
 	case Accepted:
 		r.phase = phaseRunning
 		r.startedAt, r.progressAt = e.now, e.now
 		r.confirm(e.now)
-		at.nextPoll = e.now // to learn of its completion
+		a.nextPoll = e.now // to learn of its completion
 		if since, ok := e.readySince[r.task.Stage]; ok && r.number == 1 {
 			readyToStart.Update((e.now - since).Seconds())
 		}
@@ -272,56 +272,56 @@
 	case RefusedStale:
 		r.phase, r.closedAt = phaseClosed, e.now
 	case RefusedTicket:
-		delete(e.adviceOf(r.task.Stage).tickets, at.record.Id)
-		delete(e.adviceOf(r.task.Stage).asked, at.record.Id)
-		e.resolveRefusedStart(r, a)
+		delete(e.adviceOf(r.task.Stage).tickets, a.record.Id)
+		delete(e.adviceOf(r.task.Stage).asked, a.record.Id)
+		e.resolveRefusedStart(r, ans)
 	default:
-		at.backoffUntil = e.now + refusalBackoff
-		e.resolveRefusedStart(r, a)
+		a.backoffUntil = e.now + refusalBackoff
+		e.resolveRefusedStart(r, ans)
 	}
 }
 
 // resolveRefusedStart ends a run whose start was refused. While an earlier copy of the
 // start is unanswered it may still arrive, so the run is closed by a stop first.
-func (e *Engine) resolveRefusedStart(r *run, a Answer) {
+func (e *Engine) resolveRefusedStart(r *run, ans Answer) {
 	if r.startsSent == r.startsAnswered {
-		e.resolve(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, a.Verdict.String())
+		e.resolve(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, ans.Verdict.String())
 		return
 	}
 	r.phase, r.nextStart = phaseUnresolved, e.now+startRetryInterval
 	r.stopReason = "start refused while an earlier copy may be in flight"
 }
 
-func (e *Engine) handleStopAnswer(at *agent, a Answer) {
-	r := e.findRun(at, a.Order.Run)
+func (e *Engine) handleStopAnswer(a *agent, ans Answer) {
+	r := e.findRun(a, ans.Order.Run)
 	if r == nil {
 		return
 	}
 	r.stopPending, r.nextStop = false, e.now+stopRetryInterval
-	if a.Verdict != Accepted {
-		e.options.Logger.Info("stop refused or unanswered", "job", a.Order.Run.Job, "run", r.number, "agent", at.record.Id, "verdict", a.Verdict.String(), "detail", a.Detail)
+	if ans.Verdict != Accepted {
+		e.options.Logger.Info("stop refused or unanswered", "job", ans.Order.Run.Job, "run", r.number, "agent", a.record.Id, "verdict", ans.Verdict.String(), "detail", ans.Detail)
 		return
 	}
 	r.phase, r.closedAt = phaseClosed, e.now
 }
 
 // resolveMissingRuns resolves the runs that are missing from the agent's report.
-func (e *Engine) resolveMissingRuns(at *agent, a Answer) {
-	if len(a.Completions) >= maxListedCompletions {
+func (e *Engine) resolveMissingRuns(a *agent, ans Answer) {
+	if len(ans.Completions) >= maxListedCompletions {
 		return // the list may be truncated
 	}
-	for _, r := range at.sortedRuns {
+	for _, r := range a.sortedRuns {
 		if r.listedAt == e.now || r.endPending {
 			continue
 		}
-		e.resolveMissingRun(r, a.Order.SentAt)
+		e.resolveMissingRun(r, ans.Order.SentAt)
 	}
 }
 
 // maxListedCompletions is the longest list of completions in one answer.
 const maxListedCompletions = 500
 
-func (e *Engine) resolveMissingRun(r *run, askedAt time.Duration) {
+func (e *Engine) resolveMissingRun(r *run, polledAt time.Duration) {
 	switch r.phase {
 	case phaseUnknown:
 		// The agent refuses orders of earlier leaders and doesn't list the run, so it was
@@ -332,11 +332,11 @@
 		}
 		e.start(r)
 	case phaseClosed:
-		if askedAt >= r.closedAt {
+		if polledAt >= r.closedAt {
 			e.resolve(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, "closed and missing from agent report")
 		}
 	case phaseRunning:
-		if askedAt >= r.confirmedAt {
+		if polledAt >= r.confirmedAt {
 			e.resolve(r, wire.RunOutcome_RUN_OUTCOME_LOST, "missing from agent report")
 		}
 	case phaseStarting, phaseUnresolved:
--- a/internal/sched/drive/search.go
+++ b/internal/sched/drive/search.go
@@ -54,16 +54,16 @@
 	}
 )
 
-func summarize(rooms []*freeResources) *poolSummary {
-	s := &poolSummary{agents: len(rooms)}
-	for _, m := range rooms {
-		if m.finalAttempt {
+func summarize(candidates []*freeResources) *poolSummary {
+	s := &poolSummary{agents: len(candidates)}
+	for _, free := range candidates {
+		if free.finalAttempt {
 			s.finalAttempts++
 		}
-		s.freeMillis += m.cpuMillis
-		s.capacityMillis += m.capacityMillis
-		s.largestFree = max(s.largestFree, m.cpuMillis)
-		s.largestReclaimable = max(s.largestReclaimable, m.reclaimable)
+		s.freeMillis += free.cpuMillis
+		s.capacityMillis += free.capacityMillis
+		s.largestFree = max(s.largestFree, free.cpuMillis)
+		s.largestReclaimable = max(s.largestReclaimable, free.reclaimable)
 	}
 	return s
 }
@@ -86,44 +86,44 @@
 	return s.largestFree >= float64(stage.Step.CpuMillis)
 }
 
-func (p *pass) newSearch(s *graph.Stage, rooms []*freeResources) *search {
-	f := &search{pass: p, stage: s, free: rooms, remaining: len(rooms), sampleLimit: len(rooms)}
+func (p *pass) newSearch(s *graph.Stage, candidates []*freeResources) *search {
+	sr := &search{pass: p, stage: s, free: candidates, remaining: len(candidates), sampleLimit: len(candidates)}
 	if !p.summaries[p.engine.poolOf(s.Job)].mayFit(s) {
-		f.remaining = 0
+		sr.remaining = 0
 	}
 	// A sample would miss the few agents that are much better than others: those in the
 	// rack of the data, or those with similar standing tasks.
-	alike := s.Standing() || s.Step.DataRack != ""
-	if sample := baseSampleSize + samplePerTask*s.Unplaced; !alike && sample < len(rooms) {
-		f.sampleLimit = sample
-		f.next = p.engine.searchOffset % len(rooms)
+	rateAll := s.Standing() || s.Step.DataRack != ""
+	if sample := baseSampleSize + samplePerTask*s.Unplaced; !rateAll && sample < len(candidates) {
+		sr.sampleLimit = sample
+		sr.next = p.engine.searchOffset % len(candidates)
 	}
-	return f
+	return sr
 }
 
 // rateMore rates agents until the sample is complete.
-func (f *search) rateMore() {
-	begun := f.remaining
-	for f.remaining > 0 && len(f.ratings) < f.sampleLimit {
-		m := f.free[f.next]
-		if m.fits(f.stage) {
-			if cost := f.pass.cost(f.stage, m); !math.IsInf(cost, 1) {
-				f.ratings = append(f.ratings, rating{m, f.next, cost})
+func (sr *search) rateMore() {
+	begun := sr.remaining
+	for sr.remaining > 0 && len(sr.ratings) < sr.sampleLimit {
+		free := sr.free[sr.next]
+		if free.fits(sr.stage) {
+			if cost := sr.pass.cost(sr.stage, free); !math.IsInf(cost, 1) {
+				sr.ratings = append(sr.ratings, rating{free, sr.next, cost})
 			}
 		}
-		f.remaining--
-		f.next = (f.next + 1) % len(f.free)
+		sr.remaining--
+		sr.next = (sr.next + 1) % len(sr.free)
 	}
-	f.pass.engine.searchOffset += begun - f.remaining
+	sr.pass.engine.searchOffset += begun - sr.remaining
 }
 
 // best returns the agent with the lowest cost for a task, or nil if none is feasible.
-func (f *search) best(t *graph.Task) *freeResources {
+func (sr *search) best(t *graph.Task) *freeResources {
 	for {
 		var best *rating
 		bestCost := math.Inf(1)
-		for i := range f.ratings {
-			r := &f.ratings[i]
+		for i := range sr.ratings {
+			r := &sr.ratings[i]
 			cost := r.costOf(t)
 			if cost < bestCost || cost == bestCost && best != nil && r.index < best.index {
 				best, bestCost = r, cost
@@ -132,11 +132,11 @@
 		if best != nil {
 			return best.free
 		}
-		if f.remaining == 0 {
+		if sr.remaining == 0 {
 			return nil
 		}
-		f.sampleLimit = max(f.sampleLimit, len(f.ratings)+baseSampleSize)
-		f.rateMore()
+		sr.sampleLimit = max(sr.sampleLimit, len(sr.ratings)+baseSampleSize)
+		sr.rateMore()
 	}
 }
 
@@ -154,25 +154,25 @@
 }
 
 // updateRating rates an agent again after a task was assigned to it.
-func (f *search) updateRating(m *freeResources) {
-	for i := range f.ratings {
-		if f.ratings[i].free != m {
+func (sr *search) updateRating(free *freeResources) {
+	for i := range sr.ratings {
+		if sr.ratings[i].free != free {
 			continue
 		}
 		cost := math.Inf(1)
-		if m.fits(f.stage) {
-			cost = f.pass.cost(f.stage, m)
+		if free.fits(sr.stage) {
+			cost = sr.pass.cost(sr.stage, free)
 		}
 		if !math.IsInf(cost, 1) {
-			f.ratings[i].cost = cost
+			sr.ratings[i].cost = cost
 			return
 		}
-		last := len(f.ratings) - 1
-		f.ratings[i] = f.ratings[last]
-		f.ratings = f.ratings[:last]
+		last := len(sr.ratings) - 1
+		sr.ratings[i] = sr.ratings[last]
+		sr.ratings = sr.ratings[:last]
 		return
 	}
 }
 
 // exhausted reports whether no agent fits any task of the stage.
-func (f *search) exhausted() bool { return len(f.ratings) == 0 && f.remaining == 0 }
+func (sr *search) exhausted() bool { return len(sr.ratings) == 0 && sr.remaining == 0 }
--- a/internal/sched/drive/sort.go
+++ b/internal/sched/drive/sort.go
@@ -21,30 +21,30 @@
 }
 
 // addRun adds a run of a task that has no other run on the agent.
-func (r *agent) addRun(known *run) {
-	r.runs[known.task] = known
-	i, _ := slices.BinarySearchFunc(r.sortedRuns, known, compareRuns)
-	r.sortedRuns = slices.Insert(r.sortedRuns, i, known)
+func (a *agent) addRun(r *run) {
+	a.runs[r.task] = r
+	i, _ := slices.BinarySearchFunc(a.sortedRuns, r, compareRuns)
+	a.sortedRuns = slices.Insert(a.sortedRuns, i, r)
 }
 
 // removeRun removes a run. It copies the list, so that a caller may be iterating over it.
-func (r *agent) removeRun(known *run) {
-	delete(r.runs, known.task)
-	kept := make([]*run, 0, len(r.sortedRuns))
-	for _, other := range r.sortedRuns {
-		if other != known {
+func (a *agent) removeRun(r *run) {
+	delete(a.runs, r.task)
+	kept := make([]*run, 0, len(a.sortedRuns))
+	for _, other := range a.sortedRuns {
+		if other != r {
 			kept = append(kept, other)
 		}
 	}
-	r.sortedRuns = kept
+	a.sortedRuns = kept
 }
 
 // agentsByID returns all agents, sorted by id.
 func (e *Engine) agentsByID() []*agent {
 	if e.sortedAgents == nil {
 		e.sortedAgents = make([]*agent, 0, len(e.agents))
-		for _, at := range e.agents {
-			e.sortedAgents = append(e.sortedAgents, at)
+		for _, a := range e.agents {
+			e.sortedAgents = append(e.sortedAgents, a)
 		}
 		slices.SortFunc(e.sortedAgents, func(a, b *agent) int { return strings.Compare(a.record.Id, b.record.Id) })
 	}
--- a/internal/sched/drive/sync.go
+++ b/internal/sched/drive/sync.go
@@ -32,43 +32,43 @@
 }
 
 func (e *Engine) syncAgent(id string) {
-	registered, at := e.graph.Agent(id), e.agents[id]
+	registered, a := e.graph.Agent(id), e.agents[id]
 	if registered == nil {
-		if at != nil {
+		if a != nil {
 			delete(e.agents, id)
 			e.agentsByPool, e.sortedAgents = nil, nil
-			e.removeRuns(at)
+			e.removeRuns(a)
 		}
 		return
 	}
-	if at == nil {
-		at = e.newAgent(registered)
+	if a == nil {
+		a = e.newAgent(registered)
 	}
-	at.record = registered.Record
-	at.markChanged()
+	a.record = registered.Record
+	a.markChanged()
 	for t := range registered.Tasks {
-		e.syncTask(at, t)
+		e.syncTask(a, t)
 	}
-	for _, r := range at.sortedRuns {
+	for _, r := range a.sortedRuns {
 		if r.task.Agent != id || r.task.Run != r.number {
 			e.removeRun(r)
 		}
 	}
 }
 
-func (e *Engine) syncTask(at *agent, t *graph.Task) {
+func (e *Engine) syncTask(a *agent, t *graph.Task) {
 	known := e.runs[t]
-	if known != nil && known.number == t.Run && known.agent == at {
+	if known != nil && known.number == t.Run && known.agent == a {
 		return
 	}
 	if known != nil {
 		e.removeRun(known)
 	}
-	r := &run{task: t, number: t.Run, agent: at, phase: phaseUnknown, cpuPercent: unknownPercent, targetPercent: fullPercent, trackedAt: e.now}
+	r := &run{task: t, number: t.Run, agent: a, phase: phaseUnknown, cpuPercent: unknownPercent, targetPercent: fullPercent, trackedAt: e.now}
 	e.runs[t] = r
-	at.addRun(r)
+	a.addRun(r)
 	e.runningCPU[loadKeyOf(t)] += float64(t.Stage.Step.CpuMillis)
-	at.markChanged()
+	a.markChanged()
 }
 
 func loadKeyOf(t *graph.Task) loadKey {
@@ -87,8 +87,8 @@
 	}
 }
 
-func (e *Engine) removeRuns(at *agent) {
-	for _, r := range at.sortedRuns {
+func (e *Engine) removeRuns(a *agent) {
+	for _, r := range a.sortedRuns {
 		e.removeRun(r)
 	}
 }
@@ -108,37 +108,37 @@
 }
 
 // scheduleReconcile reconciles the agent at the next tick.
-func (r *agent) scheduleReconcile() { r.reconcileAt = 0 }
+func (a *agent) scheduleReconcile() { a.reconcileAt = 0 }
 
 // markChanged records that the agent's runs or capacity changed. It is reconciled at the
 // next tick, and its free resources are recomputed.
-func (r *agent) markChanged() {
-	r.scheduleReconcile()
-	r.freeStale = true
+func (a *agent) markChanged() {
+	a.scheduleReconcile()
+	a.freeStale = true
 }
 
 // reconcileAgents reconciles the agents that are due.
 func (e *Engine) reconcileAgents() {
-	for _, at := range e.agentsByID() {
-		if e.now < at.reconcileAt {
+	for _, a := range e.agentsByID() {
+		if e.now < a.reconcileAt {
 			continue
 		}
-		at.reconcileAt = e.now + idleReconcileInterval
-		e.reconcileAgent(at)
-		for _, r := range at.sortedRuns {
+		a.reconcileAt = e.now + idleReconcileInterval
+		e.reconcileAgent(a)
+		for _, r := range a.sortedRuns {
 			e.reconcileRun(r)
 		}
-		at.reconcileAt = min(at.reconcileAt, e.nextReconcileOf(at))
+		a.reconcileAt = min(a.reconcileAt, e.nextReconcileOf(a))
 	}
 }
 
 // nextReconcileOf returns when the agent is due if no event occurs before.
-func (e *Engine) nextReconcileOf(at *agent) time.Duration {
+func (e *Engine) nextReconcileOf(a *agent) time.Duration {
 	due := e.now + idleReconcileInterval
-	if !at.polling {
-		due = min(due, max(at.nextPoll, e.now+reconcileInterval))
+	if !a.polling {
+		due = min(due, max(a.nextPoll, e.now+reconcileInterval))
 	}
-	if at.failedPolls > 0 || at.record.Leaving || at.hasPendingOrders() {
+	if a.failedPolls > 0 || a.record.Leaving || a.hasPendingOrders() {
 		due = min(due, e.now+reconcileInterval)
 	}
 	return due
@@ -146,9 +146,9 @@
 
 // hasPendingOrders reports whether an order for a run on the agent has to be sent or
 // repeated.
-func (r *agent) hasPendingOrders() bool {
-	for _, known := range r.sortedRuns {
-		if known.hasPendingOrder() {
+func (a *agent) hasPendingOrders() bool {
+	for _, r := range a.sortedRuns {
+		if r.hasPendingOrder() {
 			return true
 		}
 	}
--- a/internal/sched/drive/throttle.go
+++ b/internal/sched/drive/throttle.go
@@ -50,21 +50,21 @@
 // throttleColocated throttles the opportunistic runs that interfere most with a standing
 // run, until it is predicted to meet its target again.
 func (e *Engine) throttleColocated(standing *run) {
-	at := standing.agent
+	a := standing.agent
 	excess := e.excessUtilization(standing, throttleGoalShare)
 	for _, r := range e.interferingRuns(standing) {
-		adds := e.interferenceOn(standing, r)
-		if excess <= 0 || adds < minInterference {
+		added := e.interferenceOn(standing, r)
+		if excess <= 0 || added < minInterference {
 			return
 		}
-		part := min(excess/adds, 1)
-		pace := int(float64(r.targetPercent)*(1-part)) / percentStep * percentStep
-		excess -= adds * part
-		at.throttleChangedAt = e.now
-		if pace < migrateBelowPercent && r.task.Stage.Step.Checkpointable && e.enabled(Migrate) {
+		fraction := min(excess/added, 1)
+		percent := int(float64(r.targetPercent)*(1-fraction)) / percentStep * percentStep
+		excess -= added * fraction
+		a.throttleChangedAt = e.now
+		if percent < migrateBelowPercent && r.task.Stage.Step.Checkpointable && e.enabled(Migrate) {
 			e.evictInterfering(r, standing)
 		}
-		e.setThrottle(r, pace, standing)
+		e.setThrottle(r, percent, standing)
 	}
 }
 
@@ -95,9 +95,9 @@
 
 // throttleableRuns returns the opportunistic runs on an agent that use the CPU and aren't
 // being stopped, in the order of compareRuns.
-func throttleableRuns(at *agent) []*run {
+func throttleableRuns(a *agent) []*run {
 	var list []*run
-	for _, r := range at.sortedRuns {
+	for _, r := range a.sortedRuns {
 		if r.task.Stage.Step.Opportunistic && r.phase == phaseRunning && r.targetPercent > 0 && r.stopReason == "" {
 			list = append(list, r)
 		}
@@ -106,14 +106,14 @@
 }
 
 // relaxThrottles releases one throttled run if all standing runs are expected to bear it.
-func (e *Engine) relaxThrottles(at *agent) {
-	for _, r := range at.sortedRuns {
+func (e *Engine) relaxThrottles(a *agent) {
+	for _, r := range a.sortedRuns {
 		t := r.task
 		if !t.Stage.Step.Opportunistic || r.targetPercent >= fullPercent || r.phase != phaseRunning || r.stopReason != "" {
 			continue
 		}
-		if e.withinTargets(at, t.Stage.Step.Image, r.unthrottledShare()*float64(fullPercent-max(r.cpuPercent, 0))/fullPercent) {
-			at.throttleChangedAt = e.now
+		if e.withinTargets(a, t.Stage.Step.Image, r.unthrottledShare()*float64(fullPercent-max(r.cpuPercent, 0))/fullPercent) {
+			a.throttleChangedAt = e.now
 			e.setThrottle(r, fullPercent, nil)
 			return
 		}
@@ -122,17 +122,17 @@
 
 // withinTargets reports whether all standing runs on an agent are predicted to stay
 // within relaxBelowShare of their targets with an additional load of an image.
-func (e *Engine) withinTargets(at *agent, image string, share float64) bool {
-	if e.expectedUtilization(at)+share > maxUtilization {
+func (e *Engine) withinTargets(a *agent, image string, share float64) bool {
+	if e.expectedUtilization(a)+share > maxUtilization {
 		return false
 	}
-	for _, r := range at.sortedRuns {
+	for _, r := range a.sortedRuns {
 		t := r.task
 		if t.Stage.Step.TailTargetMs == 0 || r.phase != phaseRunning {
 			continue
 		}
-		adds := e.tailModel.Weight(t.Stage.Step.Image, image) * share
-		if adds >= minInterference && e.excessUtilization(r, relaxBelowShare)+adds > 0 {
+		added := e.tailModel.Weight(t.Stage.Step.Image, image) * share
+		if added >= minInterference && e.excessUtilization(r, relaxBelowShare)+added > 0 {
 			return false
 		}
 	}
@@ -140,8 +140,8 @@
 }
 
 // clearThrottles releases all throttled runs on an agent without latency targets.
-func (e *Engine) clearThrottles(at *agent) {
-	for _, r := range at.sortedRuns {
+func (e *Engine) clearThrottles(a *agent) {
+	for _, r := range a.sortedRuns {
 		if r.task.Stage.Step.Opportunistic {
 			e.setThrottle(r, fullPercent, nil)
 		}
@@ -169,17 +169,17 @@
 	e.send(r.agent, Order{Kind: Throttle, Run: r.id(), CPUPercent: r.targetPercent})
 }
 
-func (e *Engine) handleThrottleAnswer(at *agent, a Answer) {
-	r := e.findRun(at, a.Order.Run)
+func (e *Engine) handleThrottleAnswer(a *agent, ans Answer) {
+	r := e.findRun(a, ans.Order.Run)
 	if r == nil {
 		return
 	}
 	r.throttlePending = false
-	if a.Verdict == Accepted {
-		r.previousPercent, r.cpuPercent, r.throttledAt = r.cpuPercent, a.Order.CPUPercent, e.now
+	if ans.Verdict == Accepted {
+		r.previousPercent, r.cpuPercent, r.throttledAt = r.cpuPercent, ans.Order.CPUPercent, e.now
 		r.progressAt = e.now
 		return
 	}
 	r.nextThrottle = e.now + throttleRetryInterval
-	e.options.Logger.Info("throttle refused or unanswered", "job", a.Order.Run.Job, "run", r.number, "agent", at.record.Id, "verdict", a.Verdict.String(), "detail", a.Detail)
+	e.options.Logger.Info("throttle refused or unanswered", "job", ans.Order.Run.Job, "run", r.number, "agent", a.record.Id, "verdict", ans.Verdict.String(), "detail", ans.Detail)
 }
--- a/internal/sched/drive/unreachable.go
+++ b/internal/sched/drive/unreachable.go
@@ -30,40 +30,40 @@
 		return
 	}
 	e.nextUnreachableScan = e.now + unreachableScanInterval
-	var told []*wire.SilentAgent
-	var heard []*agent
-	for _, at := range e.agentsByID() {
+	var updates []*wire.SilentAgent
+	var reachable []*agent
+	for _, a := range e.agentsByID() {
 		switch {
-		case at.dropping:
-		case at.failedPolls > 0 && !at.expiryCommitted && e.now-at.answeredAt >= unreachableAfter:
-			at.expiryCommitted = true
-			lapsesIn := max(at.clock.leasesExpireAt(e.leaderSince, e.options.Lease)-e.now, 0)
-			told = append(told, &wire.SilentAgent{Id: at.record.Id, LapsesIn: durationpb.New(lapsesIn)})
-		case at.failedPolls == 0 && at.synced && at.expiryCommitted:
-			heard = append(heard, at)
-			told = append(told, &wire.SilentAgent{Id: at.record.Id})
+		case a.dropping:
+		case a.failedPolls > 0 && !a.expiryCommitted && e.now-a.answeredAt >= unreachableAfter:
+			a.expiryCommitted = true
+			expiresIn := max(a.clock.leasesExpireAt(e.leaderSince, e.options.Lease)-e.now, 0)
+			updates = append(updates, &wire.SilentAgent{Id: a.record.Id, LapsesIn: durationpb.New(expiresIn)})
+		case a.failedPolls == 0 && a.synced && a.expiryCommitted:
+			reachable = append(reachable, a)
+			updates = append(updates, &wire.SilentAgent{Id: a.record.Id})
 		}
 	}
-	if len(told) == 0 {
+	if len(updates) == 0 {
 		return
 	}
 	e.unreachablePending = true
-	e.propose(&wire.WorkCommand{Body: &wire.WorkCommand_SilentAgents{SilentAgents: &wire.SilentAgents{Agents: told}}},
+	e.propose(&wire.WorkCommand{Body: &wire.WorkCommand_SilentAgents{SilentAgents: &wire.SilentAgents{Agents: updates}}},
 		func(_ state.Result, err error) {
 			e.unreachablePending = false
 			if err != nil {
 				return // answering agents are proposed again; the others keep expiryCommitted
 			}
-			for _, at := range heard {
-				at.expiryCommitted = false
-				at.markChanged()
+			for _, a := range reachable {
+				a.expiryCommitted = false
+				a.markChanged()
 			}
 		})
 }
 
 // committedExpiry returns the committed lease expiry of an agent, or nil.
-func (e *Engine) committedExpiry(at *agent) *graph.LeaseExpiry {
-	if registered := e.graph.Agent(at.record.Id); registered != nil {
+func (e *Engine) committedExpiry(a *agent) *graph.LeaseExpiry {
+	if registered := e.graph.Agent(a.record.Id); registered != nil {
 		return registered.LeaseExpiry
 	}
 	return nil
@@ -71,9 +71,9 @@
 
 // leaseExpired reports whether every lease of an unreachable agent is certain to have
 // expired.
-func (e *Engine) leaseExpired(at *agent) bool {
-	if e.committedExpiry(at).Expired(e.now - expirySlack) {
+func (e *Engine) leaseExpired(a *agent) bool {
+	if e.committedExpiry(a).Expired(e.now - expirySlack) {
 		return true
 	}
-	return e.now-at.answeredAt > e.options.Lease && at.clock.leasesExpired(e.now, e.leaderSince, e.options.Lease)
+	return e.now-a.answeredAt > e.options.Lease && a.clock.leasesExpired(e.now, e.leaderSince, e.options.Lease)
 }
--- a/internal/sched/drive/utilization.go
+++ b/internal/sched/drive/utilization.go
@@ -18,13 +18,13 @@
 
 // expectedCPU returns the expected CPU usage of a run without throttling, in millicores;
 // busy is the utilization of a standing run.
-func (r *run) expectedCPU(busy float64) float64 {
+func (r *run) expectedCPU(utilization float64) float64 {
 	step := r.task.Stage.Step
 	switch {
 	case step.Opportunistic:
 		return r.unthrottledShare() * float64(r.agent.record.CpuMillis)
 	case step.TailTargetMs > 0 && r.baseline.Valid:
-		return float64(step.CpuMillis) * busy
+		return float64(step.CpuMillis) * utilization
 	default:
 		return defaultCPU(step)
 	}
@@ -72,14 +72,14 @@
 // expectedUtilization returns the expected CPU usage of all runs on an agent at their
 // target percentages, as a share of its capacity, by the time a throttle ordered now
 // takes effect.
-func (e *Engine) expectedUtilization(at *agent) float64 {
+func (e *Engine) expectedUtilization(a *agent) float64 {
 	sum := 0.0
-	for _, r := range at.sortedRuns {
+	for _, r := range a.sortedRuns {
 		use := r.expectedCPU(e.tailModel.Predict(&r.baseline, e.now+throttleLookahead))
 		if r.task.Stage.Step.Opportunistic {
 			use *= float64(r.targetPercent) / fullPercent
 		}
 		sum += use
 	}
-	return at.cpuShare(sum)
+	return a.cpuShare(sum)
 }
