--- a/internal/sched/drive/advice.go
+++ b/internal/sched/drive/advice.go
@@ -106,7 +106,7 @@
 	for _, free := range agents {
 		id := free.agent.record.Id
 		_, allowed := adv.tickets[id]
-		if _, holds := e.ticketFor(s, id); holds || (adv.asked[id] && !allowed) || !free.fits(s) {
+		if _, valid := e.ticketFor(s, id); valid || (adv.asked[id] && !allowed) || !free.fits(s) {
 			continue
 		}
 		candidates = append(candidates, candidate{id, agentName(free.agent.record), p.cost(s, free)})
--- a/internal/sched/drive/agent.go
+++ b/internal/sched/drive/agent.go
@@ -21,7 +21,7 @@
 	expiredRetryInterval = time.Second
 	// unreachableDropAfter is how long an unreachable agent stays registered. An agent
 	// that reports no incarnation is never accepted again after that, since a late report
-	// of its old process couldn't be told from a new one.
+	// of its old process couldn't be distinguished from a new one.
 	unreachableDropAfter = 10 * time.Minute
 	// suspectAfter is how overdue an answer may be before the agent gets no new tasks.
 	suspectAfter = 400 * time.Millisecond
--- a/internal/sched/drive/risk.go
+++ b/internal/sched/drive/risk.go
@@ -21,7 +21,7 @@
 	// agent, since all of its runs are lost in a crash.
 	occupancyCost = 2.0
 	// maxFinalAttemptShare is the share of a pool's agents on which tasks may make their
-	// final attempt at the same time. Nothing else is placed on those agents meanwhile.
+	// final attempt at the same time. Nothing else is placed on those agents.
 	// Agents without runs don't count.
 	maxFinalAttemptShare = 0.25
 )
--- a/internal/sched/drive/run.go
+++ b/internal/sched/drive/run.go
@@ -205,8 +205,8 @@
 	}
 	ticket := ""
 	if e.advicePolicyOf(r.task.Stage) != nil {
-		var holds bool
-		if ticket, holds = e.ticketFor(r.task.Stage, r.agent.record.Id); !holds {
+		var valid bool
+		if ticket, valid = e.ticketFor(r.task.Stage, r.agent.record.Id); !valid {
 			// The ticket has expired, or an earlier leader got it.
 			e.abandonStart(r, "no valid ticket")
 			return
