--- a/internal/store/graph/apply.go
+++ b/internal/store/graph/apply.go
@@ -16,10 +16,10 @@
 	ErrUnknownQueue        = errors.New("no such queue")
 	ErrUnknownJob          = errors.New("no such job")
 	ErrUnknownAgent        = errors.New("no such agent")
-	ErrContentMismatch     = errors.New("a job with this id and other content exists")
+	ErrContentMismatch     = errors.New("the id names a job with other content")
 	ErrSuperseded          = errors.New("the run isn't newer than the task's latest run")
 	ErrNotReady            = errors.New("the task isn't ready to be placed")
-	ErrIncarnationMismatch = errors.New("another incarnation of the agent is registered")
+	ErrIncarnationMismatch = errors.New("another incarnation is registered under the id")
 	ErrAgentLeaving        = errors.New("the agent is leaving")
 )
 
