--- a/internal/front/uplink/uplink.go
+++ b/internal/front/uplink/uplink.go
@@ -26,7 +26,7 @@
 )
 
 const (
-	// refreshInterval is how often expired replica statuses are ignored.
+	// refreshInterval is how often the view is recomputed to drop expired statuses.
 	refreshInterval = 100 * time.Millisecond
 	// helloInterval is the pause between hellos, which are long polls. helloBackoff is the
 	// pause after a failed one.
@@ -63,6 +63,7 @@
 		OnDrainedChanged func(domains []string)
 	}
 
+	// replicaStatus is the last response of a replica.
 	replicaStatus struct {
 		response     *wire.HelloResponse
 		receivedAt   time.Time
@@ -75,12 +76,12 @@
 		config  atomic.Pointer[wire.ConfigurationVersion]
 
 		mu                  sync.Mutex
-		configuredAddresses []string // as the settings name them
+		configuredAddresses []string
 		replicas            map[string]replicaStatus
 		helloLoops          map[string]context.CancelFunc
 		entries             []*wire.EntryStatus
 		entryIDs            []string
-		drainRevision       uint64 // revision of the drained failure domains
+		drainRevision       uint64
 		leaderAddress       string
 		term                uint64
 		// leaderChanged is closed when another leader is known.
@@ -127,17 +128,17 @@
 func (u *Uplink) syncLoops(ctx context.Context, addresses []string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	wanted := map[string]bool{}
+	needed := map[string]bool{}
 	for _, a := range append(append([]string(nil), u.configuredAddresses...), addresses...) {
-		wanted[a] = true
+		needed[a] = true
 		if u.helloLoops[a] == nil {
-			loop, cancel := context.WithCancel(ctx)
+			loopCtx, cancel := context.WithCancel(ctx)
 			u.helloLoops[a] = cancel
-			go u.helloLoop(loop, a)
+			go u.helloLoop(loopCtx, a)
 		}
 	}
 	for a, cancel := range u.helloLoops {
-		if !wanted[a] {
+		if !needed[a] {
 			cancel()
 			delete(u.helloLoops, a)
 			delete(u.replicas, a)
@@ -159,6 +160,7 @@
 	}
 }
 
+// hello exchanges one hello with a replica and reports whether it responded.
 func (u *Uplink) hello(ctx context.Context, address string) bool {
 	conn, err := u.options.Pool.Conn(address)
 	if err != nil {
@@ -275,6 +277,7 @@
 	}
 }
 
+// setEntries replaces the entries and reports whether their IDs have changed.
 func (u *Uplink) setEntries(entries map[string]*wire.EntryStatus) bool {
 	ids := make([]string, 0, len(entries))
 	list := make([]*wire.EntryStatus, 0, len(entries))
@@ -292,8 +295,8 @@
 }
 
 // fetchConfiguration fetches a newer configuration from the replica. The first one must
-// be confirmed by a quorum: before its restart this entry may have used a newer one than
-// a lagging replica has.
+// be confirmed by a quorum: before a restart this entry may have used a newer one than a
+// lagging replica has.
 func (u *Uplink) fetchConfiguration(ctx context.Context, conn *grpc.ClientConn, r *wire.HelloResponse) {
 	first := u.config.Load() == nil
 	if !first && r.ConfigurationVersion <= u.configurationVersion() {
--- a/internal/run/ctrl/ctrl.go
+++ b/internal/run/ctrl/ctrl.go
@@ -205,6 +205,7 @@
 	}
 }
 
+// bootstrap creates or joins a cluster if the data folder has no state.
 func (c *Control) bootstrap(ctx context.Context, durable *walog.DurableState) error {
 	if durable.Snapshot != nil {
 		return nil
@@ -218,6 +219,7 @@
 	return c.log.WriteSnapshot(durable.Snapshot)
 }
 
+// startNode starts the replica, the planner and the scheduling engine.
 func (c *Control) startNode(durable *walog.DurableState) error {
 	c.machine = state.New(state.Options{
 		Retention: c.settings.RecordRetention.AsDuration(),
--- a/internal/run/ctrl/membership.go
+++ b/internal/run/ctrl/membership.go
@@ -20,8 +20,8 @@
 	// is longer than a restart, and short enough to replace the voter before the next loss
 	// that must be tolerated.
 	voterTimeout = 3 * time.Second
-	// leaderTimeout is how long a member may know no leader before it asks to join again,
-	// in case it was removed.
+	// leaderTimeout is how long a member may be without a known leader before it asks to
+	// join again, in case it was removed.
 	leaderTimeout = 3 * time.Second
 )
 
