--- a/internal/sched/drive/drive_test.go
+++ b/internal/sched/drive/drive_test.go
@@ -13,8 +13,8 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// seedsPerCase is the number of seeds that CI runs of each case, in addition to the seeds kept
-// as regressions. SYCAMOREDECK_SEEDS overrides it.
+// seedsPerCase is the number of seeds that CI runs of each case, in addition to the regression
+// seeds. SYCAMOREDECK_SEEDS overrides it.
 var seedsPerCase = seedCount(20)
 
 func seedCount(byDefault int) int {
@@ -24,13 +24,13 @@
 	return byDefault
 }
 
-// seedsWith returns the first seedsPerCase seeds and the later ones among the kept seeds.
-func seedsWith(kept []uint64) []uint64 {
+// seedsWith returns the first seedsPerCase seeds and the later ones of the regression seeds.
+func seedsWith(regressions []uint64) []uint64 {
 	var seeds []uint64
 	for seed := range uint64(seedsPerCase) {
 		seeds = append(seeds, seed)
 	}
-	for _, seed := range kept {
+	for _, seed := range regressions {
 		if seed >= uint64(seedsPerCase) {
 			seeds = append(seeds, seed)
 		}
@@ -86,10 +86,10 @@
 // with late and lost orders, crashes, partitions, leader changes, cancelled jobs and slow clocks.
 func TestEngineUnderFaults(t *testing.T) {
 	cases := []struct {
-		name    string
-		guarded bool
-		faults  faults
-		kept    []uint64 // seeds that failed before
+		name        string
+		guarded     bool
+		faults      faults
+		regressions []uint64 // seeds that failed before
 	}{
 		{"calm", true, faults{failedRun: 0.02}, nil},
 		{"late orders", true, faults{late: 0.05, lost: 0.05, failedRun: 0.02}, nil},
@@ -116,7 +116,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			done := 0
-			for _, seed := range seedsWith(c.kept) {
+			for _, seed := range seedsWith(c.regressions) {
 				s := newSim(seed, 6, c.guarded, c.faults)
 				s.run(30*time.Second, 1)
 				assertJobsEnd(t, seed, s)
--- a/internal/sched/drive/export_test.go
+++ b/internal/sched/drive/export_test.go
@@ -52,17 +52,17 @@
 	if at.freeStale {
 		return nil
 	}
-	kept := at.free
+	cached := at.free
 	fresh := *at
 	fresh.free = freeResources{}
 	e.recomputeFree(&fresh)
-	m := fresh.free
-	if kept.cpuMillis != m.cpuMillis || kept.memoryMB != m.memoryMB || kept.accelerators != m.accelerators || kept.ordinaryMillis != m.ordinaryMillis || kept.standing != m.standing ||
-		kept.suspects < m.suspects || kept.unconfirmed < m.unconfirmed || m.finalAttempt && !kept.finalAttempt {
-		return fmt.Errorf("free resources are cached as %+v, want %+v", kept, m)
+	recomputed := fresh.free
+	if cached.cpuMillis != recomputed.cpuMillis || cached.memoryMB != recomputed.memoryMB || cached.accelerators != recomputed.accelerators || cached.ordinaryMillis != recomputed.ordinaryMillis || cached.standing != recomputed.standing ||
+		cached.suspects < recomputed.suspects || cached.unconfirmed < recomputed.unconfirmed || recomputed.finalAttempt && !cached.finalAttempt {
+		return fmt.Errorf("free resources are cached as %+v, want %+v", cached, recomputed)
 	}
-	if !maps.Equal(kept.tasksByStage, m.tasksByStage) || !maps.Equal(kept.standingByImage, m.standingByImage) {
-		return fmt.Errorf("tasks by stage and image are cached as %v and %v, want %v and %v", kept.tasksByStage, kept.standingByImage, m.tasksByStage, m.standingByImage)
+	if !maps.Equal(cached.tasksByStage, recomputed.tasksByStage) || !maps.Equal(cached.standingByImage, recomputed.standingByImage) {
+		return fmt.Errorf("tasks by stage and image are cached as %v and %v, want %v and %v", cached.tasksByStage, cached.standingByImage, recomputed.tasksByStage, recomputed.standingByImage)
 	}
 	return nil
 }
