--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -76,5 +76,5 @@
 echo "jobs: finished $finished of ${#jobs[@]}, lost $((${#jobs[@]} - finished))"
 echo "standing tasks: $(cli job get "$keeper" | awk '/^state/ {s=$2} /^attempt/ {print "sync-keeper " s " in attempt " $2}')," \
   "$(cli job get "$watch" | awk '/^state/ {s=$2} /^attempt/ {print "regulation-watch " s " in attempt " $2}')"
-echo "violations found in the journals of backend servers, workers and callers:"
+echo "audit of the journals of backend servers, workers and callers:"
 "$bin/standin" audit "$dir"/*.journal
