--- a/internal/sched/drive/advice.go
+++ b/internal/sched/drive/advice.go
@@ -81,17 +81,17 @@
 // withTickets returns the agents with a ticket for a stage.
 func (p *pass) withTickets(s *graph.Stage, candidates []*freeResources) []*freeResources {
 	var allowed []*freeResources
-	for _, free := range candidates {
-		if _, ok := p.engine.ticketFor(s, free.agent.record.Id); ok {
-			allowed = append(allowed, free)
+	for _, f := range candidates {
+		if _, ok := p.engine.ticketFor(s, f.agent.record.Id); ok {
+			allowed = append(allowed, f)
 		}
 	}
 	return allowed
 }
 
-// requestAdvice asks about agents that could run the remaining tasks of a stage and
-// weren't asked about or whose tickets have expired. The service accepts one request at a
-// time.
+// requestAdvice asks about agents that could run the remaining tasks of a stage: those
+// that weren't asked about yet, and authorized ones whose tickets have expired. The
+// service accepts one request at a time.
 func (p *pass) requestAdvice(s *graph.Stage, agents []*freeResources) {
 	e := p.engine
 	if e.advicePending || e.now < e.nextAdvice || e.options.Advise == nil {
@@ -103,13 +103,13 @@
 		cost     float64
 	}
 	var candidates []candidate
-	for _, free := range agents {
-		id := free.agent.record.Id
+	for _, f := range agents {
+		id := f.agent.record.Id
 		_, allowed := adv.tickets[id]
-		if _, valid := e.ticketFor(s, id); valid || (adv.asked[id] && !allowed) || !free.fits(s) {
+		if _, valid := e.ticketFor(s, id); valid || (adv.asked[id] && !allowed) || !f.fits(s) {
 			continue
 		}
-		candidates = append(candidates, candidate{id, agentName(free.agent.record), p.cost(s, free)})
+		candidates = append(candidates, candidate{id, agentName(f.agent.record), p.cost(s, f)})
 	}
 	if len(candidates) == 0 {
 		return
--- a/internal/sched/drive/agent.go
+++ b/internal/sched/drive/agent.go
@@ -61,7 +61,7 @@
 	endsPending  bool // completions are being committed
 	dropping     bool
 	backoffUntil time.Duration
-	leavesAt     time.Duration // when a leaving agent shuts down; 0 if unknown
+	leavesAt     time.Duration // earliest shutdown of a leaving agent; 0 if unknown
 	// reportSequence is the sequence number of the latest heartbeat; reported is set once
 	// this leader has received one.
 	reportSequence      uint64
@@ -77,7 +77,7 @@
 	tailsCheckedAt time.Duration
 	// colocated is the current CPU share of its opportunistic runs, by image.
 	colocated tails.Load
-	// reconcileAt is when it is reconciled next; 0 means at the next tick.
+	// reconcileAt is when it is due for reconciliation; 0 means at the next one.
 	reconcileAt time.Duration
 	// free is its free resources as of freeAt; freeStale means that they have to be
 	// recomputed.
@@ -217,12 +217,13 @@
 	}
 }
 
-// dropPredecessors drops agents that the given one has replaced, by address or by name.
-// Its answer proves that their processes, and all of their runs, have ended.
+// dropPredecessors drops the processes that the given one has replaced, by address or by
+// name. Its answer proves that they, and all of their runs, have ended. It drops the given
+// one instead if a later process of the agent has answered before.
 func (e *Engine) dropPredecessors(a *agent) {
 	for _, other := range e.agentsByID() {
 		if other != a && other.synced && a.precedes(other) {
-			// This answer was in flight while its successor answered.
+			// The answer was in flight while the successor's arrived.
 			e.dropAgent(a, superseded, "a later incarnation has answered")
 			return
 		}
@@ -254,8 +255,8 @@
 	}
 }
 
-// stopUnknownRun stops a run that isn't in the replicated state, such as one whose end
-// was committed without the agent's report.
+// stopUnknownRun stops a run that isn't in the replicated state. It can only be one whose
+// end was committed without a completion from the agent.
 func (e *Engine) stopUnknownRun(a *agent, id *wire.RunId) {
 	e.options.Logger.Warn("unknown run stopped", "agent", a.record.Id, "job", id.Job, "step", id.Step, "index", id.Index, "run", id.Run)
 	e.send(a, Order{Kind: Stop, Run: id})
--- a/internal/sched/drive/bench_test.go
+++ b/internal/sched/drive/bench_test.go
@@ -1,4 +1,4 @@
-// This file defines the benchmark of an engine iteration at the design size.
+// This file defines the benchmark of Engine.Tick for several numbers of agents.
 
 package drive_test
 
--- a/internal/sched/drive/clock.go
+++ b/internal/sched/drive/clock.go
@@ -5,8 +5,8 @@
 import "time"
 
 const (
-	// maxClockSlowPercent is the maximum rate by which an agent's clock may lag behind
-	// ours.
+	// maxClockSlowPercent is how much slower than ours an agent's clock may run, as the
+	// platform specifies it.
 	maxClockSlowPercent = 2
 	// expirySlack covers timers that fire late on the agent.
 	expirySlack = 200 * time.Millisecond
@@ -34,8 +34,9 @@
 	c.known, c.reading, c.readAt = true, reading, now
 }
 
-// latest returns the latest time that the agent's clock may show now.
-func (c *agentClock) latest(now time.Duration) time.Duration {
+// estimate returns what the agent's clock shows now if it runs as fast as ours and the
+// reading took no time to arrive.
+func (c *agentClock) estimate(now time.Duration) time.Duration {
 	return c.reading + now - c.readAt
 }
 
@@ -45,14 +46,14 @@
 	if !c.known {
 		return 0
 	}
-	d := (c.latest(now) + lease).Truncate(time.Millisecond)
+	d := (c.estimate(now) + lease).Truncate(time.Millisecond)
 	c.deadline = max(c.deadline, d)
 	return d
 }
 
 // leasesExpireAt returns when every lease of the agent has expired, without expirySlack.
-// It assumes the slowest clock for leases of this leader, and the latest possible order
-// for leases of earlier leaders.
+// It assumes the slowest clock and, for leases of earlier leaders, the latest possible
+// order.
 func (c *agentClock) leasesExpireAt(leaderSince, lease time.Duration) time.Duration {
 	at := leaderSince + slowClockDuration(earlierLeaderMargin+lease)
 	if c.deadline != 0 {
--- a/internal/sched/drive/completions.go
+++ b/internal/sched/drive/completions.go
@@ -16,27 +16,27 @@
 	done []func(ok bool)
 }
 
-// recordCompletions commits the completions that the agent reports. They are acknowledged
-// by the first poll after the commit.
+// recordCompletions commits the completions that the agent lists. They are acknowledged
+// only after the commit, by the next poll.
 func (e *Engine) recordCompletions(a *agent, ans Answer) {
 	last := a.lastAcked
 	var ends []*wire.RunEnd
 	var skipped []Completion
-	for _, report := range ans.Completions {
-		t := e.graph.FindTask(report.Run)
+	for _, c := range ans.Completions {
+		t := e.graph.FindTask(c.Run)
 		if r := a.runs[t]; r != nil {
 			r.listedAt = e.now
 		}
-		if report.Number <= a.lastAcked {
-			skipped = append(skipped, report)
+		if c.Number <= a.lastAcked {
+			skipped = append(skipped, c)
 			continue
 		}
-		last = max(last, report.Number)
-		if t == nil || t.Agent != a.record.Id || t.Run != report.Run.Run {
+		last = max(last, c.Number)
+		if t == nil || t.Agent != a.record.Id || t.Run != c.Run.Run {
 			continue
 		}
-		e.recordOutcome(a, t, report.Outcome)
-		ends = append(ends, &wire.RunEnd{Id: report.Run, Agent: a.record.Id, Outcome: report.Outcome, Checkpoint: report.Checkpoint})
+		e.recordOutcome(a, t, c.Outcome)
+		ends = append(ends, &wire.RunEnd{Id: c.Run, Agent: a.record.Id, Outcome: c.Outcome, Checkpoint: c.Checkpoint})
 	}
 	e.logSkippedCompletions(a, skipped)
 	if len(ends) == 0 {
@@ -56,14 +56,14 @@
 // logSkippedCompletions logs completions that were skipped by their number although the
 // run is still considered present: their number must belong to another sequence.
 func (e *Engine) logSkippedCompletions(a *agent, skipped []Completion) {
-	for _, report := range skipped {
-		r := e.findRun(a, report.Run)
+	for _, c := range skipped {
+		r := e.findRun(a, c.Run)
 		if r == nil || r.endPending {
 			continue
 		}
-		endsSkipped.Inc()
-		e.options.Logger.Warn("completion skipped by its number", "agent", a.record.Id, "job", report.Run.Job, "step", report.Run.Step, "index", report.Run.Index,
-			"run", report.Run.Run, "outcome", report.Outcome.String(), "number", report.Number, "acknowledged", a.lastAcked, "incarnation", a.incarnation)
+		completionsSkipped.Inc()
+		e.options.Logger.Warn("completion skipped by its number", "agent", a.record.Id, "job", c.Run.Job, "step", c.Run.Step, "index", c.Run.Index,
+			"run", c.Run.Run, "outcome", c.Outcome.String(), "number", c.Number, "acknowledged", a.lastAcked, "incarnation", a.incarnation)
 	}
 }
 
--- a/internal/sched/drive/crash_test.go
+++ b/internal/sched/drive/crash_test.go
@@ -31,7 +31,7 @@
 }
 
 // Guards against a task that is restarted forever though it crashes each agent as it starts. A
-// crashed agent reports no end, so the run is only released and no attempt is counted.
+// crashed agent lists no completion, so the run is only released and no attempt is counted.
 func TestCrashingTaskFails(t *testing.T) {
 	s := newSim(1, 4, true, faults{})
 	var log bytes.Buffer
--- a/internal/sched/drive/drain_test.go
+++ b/internal/sched/drive/drain_test.go
@@ -14,10 +14,10 @@
 // runsByDomain returns the number of runs of a job's tasks by failure domain.
 func (s *sim) runsByDomain(job string) map[string]int {
 	domains := map[string]int{}
-	for _, agent := range s.agents {
-		for _, run := range agent.runs {
+	for _, a := range s.agents {
+		for _, run := range a.runs {
 			if run.id.Job == job {
-				domains[agent.record.FailureDomain]++
+				domains[a.record.FailureDomain]++
 			}
 		}
 	}
@@ -52,9 +52,9 @@
 	s.run(2*time.Second, 0)
 	original := firstDomain(t, s.runsByDomain(s.jobs[0]))
 	s.drain(original, false)
-	for _, agent := range s.agents {
-		for key := range agent.runs {
-			agent.end(key, wire.RunOutcome_RUN_OUTCOME_FAILED)
+	for _, a := range s.agents {
+		for key := range a.runs {
+			a.end(key, wire.RunOutcome_RUN_OUTCOME_FAILED)
 		}
 	}
 	s.run(3*time.Second, 0)
--- a/internal/sched/drive/drive_test.go
+++ b/internal/sched/drive/drive_test.go
@@ -73,8 +73,8 @@
 		assert.Assert(t, standing, "seed %d: job %s is %v after all faults ended", seed, id, j.State)
 		for _, task := range j.Occurrences[0][0].Tasks {
 			running := false
-			for _, agent := range s.agents {
-				running = running || agent.runs[taskKey(task.ID())] != nil
+			for _, a := range s.agents {
+				running = running || a.runs[taskKey(task.ID())] != nil
 			}
 			assert.Assert(t, running, "seed %d: standing task %s runs nowhere", seed, taskKey(task.ID()))
 		}
@@ -138,8 +138,8 @@
 	s.submitJob(&wire.Step{Count: 1, CpuMillis: 1000, EstimateMs: 60000, Opportunistic: true})
 	s.run(2*time.Second, 0)
 	throttled := 0
-	for _, agent := range s.agents {
-		for _, run := range agent.runs {
+	for _, a := range s.agents {
+		for _, run := range a.runs {
 			run.cpuPercent = 0
 			throttled++
 		}
@@ -147,8 +147,8 @@
 	assert.Equal(t, throttled, 1)
 	s.depose()
 	s.run(6*time.Second, 0)
-	for _, agent := range s.agents {
-		for _, run := range agent.runs {
+	for _, a := range s.agents {
+		for _, run := range a.runs {
 			assert.Equal(t, run.cpuPercent, 100)
 			assert.Equal(t, run.id.Run, uint32(1), "the run was restarted")
 		}
@@ -160,8 +160,8 @@
 // tasks that run then.
 func loseStandingUnderLoad(s *sim, gap time.Duration, spared string) int {
 	var lostAddress string
-	for address, agent := range s.agents {
-		if len(agent.runs) > 0 && address != spared {
+	for address, a := range s.agents {
+		if len(a.runs) > 0 && address != spared {
 			lostAddress = address
 		}
 	}
@@ -177,8 +177,8 @@
 	s.commit(&wire.WorkCommand{Body: &wire.WorkCommand_DropAgent{DropAgent: &wire.DropAgent{Id: lost.record.Id}}})
 	submitFor(3 * time.Second)
 	running := 0
-	for _, agent := range s.agents {
-		for _, run := range agent.runs {
+	for _, a := range s.agents {
+		for _, run := range a.runs {
 			if run.step.Standing {
 				running++
 			}
@@ -226,8 +226,8 @@
 	s.depose()
 	s.run(lostAt+limit-s.now, 0)
 	running := 0
-	for _, agent := range s.agents {
-		running += len(agent.runs)
+	for _, a := range s.agents {
+		running += len(a.runs)
 	}
 	assert.Equal(t, running, 1, "the standing task runs nowhere %v after its agent was lost", s.now-lostAt)
 }
--- a/internal/sched/drive/durations.go
+++ b/internal/sched/drive/durations.go
@@ -30,8 +30,8 @@
 		samples, sumDeclared, sumActual, sumDeclaredSquared, sumProducts float64
 	}
 
-	// jobDurations is the mean ratio of actual to declared run times of one job, as a
-	// logarithm. The zero value has no samples.
+	// jobDurations sums up the logarithms of the ratios of actual to declared run times of
+	// one job. The zero value has no samples.
 	jobDurations struct {
 		samples, sumLogRatios float64
 	}
@@ -78,8 +78,8 @@
 	d.sumLogRatios += logMillis(actual) - logMillis(declared)
 }
 
-// factor returns the ratio of a job's run times to the declared ones; false while there
-// are too few samples.
+// factor returns the mean ratio of a job's run times to the declared ones; false while
+// there are too few samples.
 func (d *jobDurations) factor() (float64, bool) {
 	if d == nil || d.samples < minJobSamples {
 		return 1, false
--- a/internal/sched/drive/engine.go
+++ b/internal/sched/drive/engine.go
@@ -1,8 +1,8 @@
 // This file defines Engine, its startup and its event loop.
 
 // Package drive is the scheduling engine of the leader. It keeps leases on agents,
-// assigns tasks to them, starts and stops runs, and resolves orders that were never
-// answered.
+// assigns tasks to them, starts, stops and throttles runs, and resolves orders that were
+// never answered.
 //
 // An Engine does no I/O: it is fed the time, committed commands and answers of agents,
 // and emits orders and proposals. It is not safe for concurrent use. Everything it holds
@@ -80,9 +80,9 @@
 		runningCPU map[loadKey]float64
 		// searchOffset is where the next search over a sample of the agents begins.
 		searchOffset int
-		// ignoredReports maps removed agents whose heartbeats still arrive to the
-		// incarnation that was logged last.
-		ignoredReports map[string]uint64
+		// loggedStale maps the own ids of agents to the incarnation whose stale heartbeat
+		// was logged last.
+		loggedStale map[string]uint64
 		// placementDirty indicates that a pass could place something.
 		placementDirty   bool
 		placementPending bool
@@ -96,7 +96,7 @@
 		ordinarySince       map[string]time.Duration
 		nextDemandDecay     time.Duration
 		nextCleanup         time.Duration
-		nextSave            time.Duration // when to persist the estimates
+		nextSave            time.Duration // when to persist the tail model
 		savedEstimates      *wire.Learned
 		nextDemandUpdate    time.Duration
 		longPolls           int           // polls in flight that wait for a completion
@@ -160,7 +160,7 @@
 	e.changedAgents = map[string]bool{}
 	e.pendingEnds = endBatch{}
 	e.agentsByPool, e.sortedAgents, e.freeByPool = nil, nil, map[string][]*freeResources{}
-	e.ignoredReports = map[string]uint64{}
+	e.loggedStale = map[string]uint64{}
 	e.runningCPU = map[loadKey]float64{}
 	e.queue, e.newlyReady = pendingQueue{}, nil
 	e.readySince = map[*graph.Stage]time.Duration{}
@@ -174,8 +174,8 @@
 // Tick performs all work that is due at now, a time of the boot clock.
 func (e *Engine) Tick(now time.Duration) {
 	e.now = now
-	term, leads := e.options.IsLeader()
-	if !leads {
+	term, isLeader := e.options.IsLeader()
+	if !isLeader {
 		if e.term != 0 {
 			e.options.Logger.Info("leadership lost", "term", e.term)
 			e.term = 0
@@ -206,11 +206,11 @@
 	if e.term == 0 {
 		return timedCheckInterval
 	}
-	wake := e.nextReconcile
+	next := e.nextReconcile
 	if e.placementDirty && !e.placementPending {
-		wake = min(wake, e.nextPass)
+		next = min(next, e.nextPass)
 	}
-	return max(wake-e.now, 0)
+	return max(next-e.now, 0)
 }
 
 // startTerm initializes the soft state of a new leader. Every run in the replicated state
@@ -249,7 +249,7 @@
 func (e *Engine) HandleAnswer(now time.Duration, ans Answer) {
 	e.now = now
 	if ans.Order.Fence != e.term || e.term == 0 {
-		return // sent in an earlier term; startTerm re-queries every agent
+		return // sent in an earlier term; each new leader polls every agent itself
 	}
 	if ans.Order.Kind == Poll && ans.Order.Wait > 0 {
 		e.longPolls--
--- a/internal/sched/drive/estimates.go
+++ b/internal/sched/drive/estimates.go
@@ -56,19 +56,19 @@
 
 // expectedSlowdown returns the expected cost of a run on an agent, in normal run times.
 func (es *estimates) expectedSlowdown(id string) float64 {
-	est := es.agents[id]
-	if est == nil {
+	ae := es.agents[id]
+	if ae == nil {
 		return 1
 	}
-	return max(est.slowdown, 0.5) + failureCost*est.failureRate
+	return max(ae.slowdown, 0.5) + failureCost*ae.failureRate
 }
 
-func (est *agentEstimate) recordResult(failed bool) {
+func (ae *agentEstimate) recordResult(failed bool) {
 	value := 0.0
 	if failed {
 		value = 1
 	}
-	est.failureRate += (value - est.failureRate) * newSampleWeight
+	ae.failureRate += (value - ae.failureRate) * newSampleWeight
 }
 
 // recordOutcome updates the estimates with the end of a run. Opportunistic runs don't
@@ -78,23 +78,23 @@
 	if r == nil {
 		return
 	}
-	est := e.estimates.agent(a.record.Id)
+	ae := e.estimates.agent(a.record.Id)
 	switch outcome {
 	case wire.RunOutcome_RUN_OUTCOME_DONE:
-		est.recordResult(false)
-		e.recordSlowdown(est, r)
+		ae.recordResult(false)
+		e.recordSlowdown(ae, r)
 		e.recordDuration(r)
 	case wire.RunOutcome_RUN_OUTCOME_FAILED:
 		// Standing tasks may fail at any time through no fault of the agent.
 		if !t.Stage.Standing() {
-			est.recordResult(true)
+			ae.recordResult(true)
 		}
 		e.options.Logger.Info("run failed", "job", t.Stage.Job.ID, "step", t.Stage.Index, "index", t.Index, "run", t.Run,
-			"agent", a.record.Id, "failures", t.Failures+1, "agent_failing", est.failureRate)
+			"agent", a.record.Id, "failures", t.Failures+1, "agent_failing", ae.failureRate)
 	}
 }
 
-func (e *Engine) recordSlowdown(est *agentEstimate, r *run) {
+func (e *Engine) recordSlowdown(ae *agentEstimate, r *run) {
 	step := r.task.Stage.Step
 	if step.Opportunistic || step.EstimateMs == 0 || r.startedAt == 0 || r.task.Checkpoint != "" {
 		return
@@ -106,7 +106,7 @@
 		usual = ratio
 	}
 	e.estimates.durationRatio[queue] = usual + (ratio-usual)*newSampleWeight/4
-	est.slowdown += (ratio/max(usual, 0.01) - est.slowdown) * newSampleWeight
+	ae.slowdown += (ratio/max(usual, 0.01) - ae.slowdown) * newSampleWeight
 }
 
 // checkProgress stops a stalled run so that it is restarted elsewhere from its
@@ -120,7 +120,8 @@
 	if step.Standing {
 		limit = startupStallTime
 	}
-	// Only reports since the last progress count: without a recent one nothing is known.
+	// Measured up to the latest confirmation: without answers of the agent no progress can
+	// be seen.
 	if r.confirmedAt-r.progressAt < limit {
 		return
 	}
--- a/internal/sched/drive/features.go
+++ b/internal/sched/drive/features.go
@@ -9,7 +9,7 @@
 )
 
 // Feature is a scheduling feature that can be switched off for ablation measurements. No
-// guarantee depends on a single feature: all of them hold with every feature off.
+// guarantee depends on a feature: all guarantees hold with every feature off.
 type Feature string
 
 // Features.
@@ -19,9 +19,10 @@
 	// HaltOpportunistic halts all opportunistic runs that are colocated with a standing
 	// run which exceeds its latency target for long.
 	HaltOpportunistic Feature = "Halts"
-	// ReserveForStanding reserves an agent for a standing task that has to be restarted.
+	// ReserveForStanding reserves an agent for a standing task that has to be restarted, or
+	// for a task on its final attempt.
 	ReserveForStanding Feature = "KeepClear"
-	// PersistEstimates hands the leader's estimates on to the next leader.
+	// PersistEstimates hands the leader's tail model on to the next leader.
 	PersistEstimates Feature = "LearnedKept"
 	// EstimateDurations orders stages by estimated instead of declared run times.
 	EstimateDurations Feature = "LearnedTimes"
@@ -45,14 +46,14 @@
 func ParseFeatures(names []string) (map[Feature]bool, error) {
 	named := map[Feature]bool{}
 	for _, name := range names {
-		m := Feature(strings.TrimSpace(name))
-		if !slices.Contains(Features, m) {
+		f := Feature(strings.TrimSpace(name))
+		if !slices.Contains(Features, f) {
 			return nil, fmt.Errorf("drive: unknown feature %q, valid features are %v", name, Features)
 		}
-		named[m] = true
+		named[f] = true
 	}
 	return named, nil
 }
 
 // enabled reports whether a feature is on.
-func (e *Engine) enabled(m Feature) bool { return !e.options.Disabled[m] }
+func (e *Engine) enabled(f Feature) bool { return !e.options.Disabled[f] }
--- a/internal/sched/drive/gang.go
+++ b/internal/sched/drive/gang.go
@@ -10,8 +10,8 @@
 	"sycamoredeck.example/internal/store/graph"
 )
 
-// placeGang places all members of a gang or none, as a part of them would only wait for
-// the others. Their runs share one number.
+// placeGang places all members of a gang or none, as members that run without the others
+// would only wait for them. Their runs share one number.
 func (p *pass) placeGang(s *graph.Stage, candidates []*freeResources) {
 	number := uint32(0)
 	for _, t := range s.Tasks {
@@ -33,12 +33,12 @@
 func groupByRack(candidates []*freeResources) [][]*freeResources {
 	byRack := map[string][]*freeResources{}
 	var names []string
-	for _, free := range candidates {
-		rack := free.agent.record.Rack
+	for _, f := range candidates {
+		rack := f.agent.record.Rack
 		if byRack[rack] == nil {
 			names = append(names, rack)
 		}
-		byRack[rack] = append(byRack[rack], free)
+		byRack[rack] = append(byRack[rack], f)
 	}
 	sort.Strings(names)
 	list := make([][]*freeResources, 0, len(names))
@@ -48,13 +48,15 @@
 	return list
 }
 
+// placeMembers places all members on the candidates, or none. It first tries on copies of
+// the candidates, so that a failed attempt changes nothing.
 func (p *pass) placeMembers(s *graph.Stage, candidates []*freeResources, number uint32) bool {
 	trial := &pass{engine: p.engine, wallTime: p.wallTime}
 	copies := make([]*freeResources, len(candidates))
-	for i, free := range candidates {
-		clone := *free
-		clone.tasksByStage = map[*graph.Stage]int{s: free.tasksByStage[s]}
-		clone.standingByImage, clone.latencyTasks = maps.Clone(free.standingByImage), slices.Clone(free.latencyTasks)
+	for i, f := range candidates {
+		clone := *f
+		clone.tasksByStage = map[*graph.Stage]int{s: f.tasksByStage[s]}
+		clone.standingByImage, clone.latencyTasks = maps.Clone(f.standingByImage), slices.Clone(f.latencyTasks)
 		copies[i] = &clone
 	}
 	sr := trial.newSearch(s, copies)
@@ -67,9 +69,9 @@
 		sr.updateRating(free)
 	}
 	for _, placement := range trial.placed {
-		for _, free := range candidates {
-			if free.agent.record.Id == placement.Agent {
-				free.assume(s.Tasks[placement.Id.Index])
+		for _, f := range candidates {
+			if f.agent.record.Id == placement.Agent {
+				f.assume(s.Tasks[placement.Id.Index])
 				p.summaries[p.engine.poolOf(s.Job)].assume(s)
 			}
 		}
--- a/internal/sched/drive/invariants_test.go
+++ b/internal/sched/drive/invariants_test.go
@@ -13,9 +13,9 @@
 // checkStart checks the invariants of a start.
 func (s *sim) checkStart(on *modelAgent, o drive.Order) {
 	key := taskKey(o.Run)
-	for _, agent := range s.agents {
-		if agent.runs[key] != nil {
-			s.check(false, "%s run %d starts on %s while run %d is on %s", key, o.Run.Run, on.record.Id, agent.runs[key].id.Run, agent.record.Id)
+	for _, a := range s.agents {
+		if a.runs[key] != nil {
+			s.check(false, "%s run %d starts on %s while run %d is on %s", key, o.Run.Run, on.record.Id, a.runs[key].id.Run, a.record.Id)
 		}
 	}
 	s.check(!s.doneAcked[key], "%s starts after its completion was acknowledged", key)
@@ -23,10 +23,10 @@
 	_, crashing := s.crashingJobs[o.Run.Job]
 	s.check(!crashing || s.crashes[key] < maxTaskCrashes, "%s starts after it crashed %d agents", key, s.crashes[key])
 	step := s.steps[fmt.Sprintf("%s.%d", o.Run.Job, o.Run.Step)]
-	for _, dependency := range step.After {
-		earlier := s.graph.Job(o.Run.Job).Occurrences[o.Run.Occurrence][dependency]
+	for _, d := range step.After {
+		earlier := s.graph.Job(o.Run.Job).Occurrences[o.Run.Occurrence][d]
 		for _, t := range earlier.Tasks {
-			s.check(t.Done, "%s starts before step %d is done", key, dependency)
+			s.check(t.Done, "%s starts before step %d is done", key, d)
 		}
 	}
 	if at, ok := s.cancelled[o.Run.Job]; ok && o.SentAt > at {
@@ -75,11 +75,11 @@
 	if !s.isLeader {
 		return
 	}
-	for _, agent := range s.agents {
-		for key, run := range agent.runs {
+	for _, a := range s.agents {
+		for key, run := range a.runs {
 			at, cancelled := s.cancelled[run.id.Job]
-			since := max(at, run.startedAt, agent.unreachableUntil, s.leaderSince)
-			s.check(!cancelled || s.now < since+cancelledRunLimit, "%s runs on %s %v after its job was cancelled", key, agent.record.Id, s.now-at)
+			since := max(at, run.startedAt, a.unreachableUntil, s.leaderSince)
+			s.check(!cancelled || s.now < since+cancelledRunLimit, "%s runs on %s %v after its job was cancelled", key, a.record.Id, s.now-at)
 		}
 	}
 }
--- a/internal/sched/drive/latency.go
+++ b/internal/sched/drive/latency.go
@@ -45,12 +45,12 @@
 
 // unthrottledShare returns the CPU share that an opportunistic run would use unthrottled.
 // Its reported usage is ignored until usageWindow after it was started or throttled, as
-// it covers the time before.
+// until then it covers time before that.
 func (r *run) unthrottledShare() float64 {
-	declared := float64(r.task.Stage.Step.CpuMillis)
-	use := declared * defaultUseShare
+	requested := float64(r.task.Stage.Step.CpuMillis)
+	use := requested * defaultUseShare
 	if r.usage > 0 && r.cpuPercent > 0 && r.usageAt-max(r.startedAt, r.throttledAt) >= usageWindow {
-		use = min(float64(r.usage)*fullPercent/float64(r.cpuPercent), declared)
+		use = min(float64(r.usage)*fullPercent/float64(r.cpuPercent), requested)
 	}
 	return r.agent.cpuShare(use)
 }
@@ -69,7 +69,7 @@
 	a.tailsCheckedAt = e.now
 	e.updateTailModel(a)
 	a.recordColocated()
-	standing := e.longestOverTarget(a)
+	standing := e.findOverTarget(a)
 	a.opportunisticHalted = standing != nil && e.enabled(HaltOpportunistic)
 	if a.opportunisticHalted {
 		e.haltColocated(standing)
@@ -85,31 +85,31 @@
 	e.relaxThrottles(a)
 }
 
-// hasFreshTail reports whether a standing run's tail latency was measured just now.
+// hasFreshTail reports whether a standing run's tail latency was reported just now.
 func (e *Engine) hasFreshTail(r *run) bool {
 	return r.task.Stage.Step.TailTargetMs > 0 && r.phase == phaseRunning && r.usageAt == e.now && r.progressPercent >= 100 && r.usage > 0
 }
 
-// longestOverTarget returns a standing run that has exceeded its target for haltAfter, if
+// findOverTarget returns a standing run that has exceeded its target for haltAfter, if
 // interference may be the cause, or for haltRegardlessAfter; otherwise nil.
-func (e *Engine) longestOverTarget(a *agent) *run {
-	var longest *run
+func (e *Engine) findOverTarget(a *agent) *run {
+	var found *run
 	for _, r := range a.sortedRuns {
 		if !e.hasFreshTail(r) {
 			continue
 		}
 		target := float64(r.task.Stage.Step.TailTargetMs)
-		near := float64(r.usage) > target*overTargetShare
+		over := float64(r.usage) > target*overTargetShare
 		switch {
 		case float64(r.usage) < target*underTargetShare:
 			r.overTargetSince = 0
-		case near && r.overTargetSince == 0:
+		case over && r.overTargetSince == 0:
 			r.overTargetSince = e.now
-		case near && e.now-r.overTargetSince >= haltAfter && (e.now-r.overTargetSince >= haltRegardlessAfter || e.mayBeInterference(r)):
-			longest = r
+		case over && e.now-r.overTargetSince >= haltAfter && (e.now-r.overTargetSince >= haltRegardlessAfter || e.mayBeInterference(r)):
+			found = r
 		}
 	}
-	return longest
+	return found
 }
 
 // mayBeInterference reports whether a standing run could meet its target without
@@ -211,12 +211,12 @@
 			continue
 		}
 		latest[r] = r.currentShare()
-		mean, deviation := r.meanShareSince(a.tailsRecordedAt, now, latest[r])
+		mean, uncertainty := r.meanShareSince(a.tailsRecordedAt, now, latest[r])
 		colocated[step.Image] += mean
-		uncertain[step.Image] += deviation
+		uncertain[step.Image] += uncertainty
 	}
 	for _, r := range slices.SortedFunc(maps.Keys(a.lastShares), compareRuns) {
-		if _, there := latest[r]; there {
+		if _, present := latest[r]; present {
 			continue
 		}
 		share := a.lastShares[r]
@@ -235,7 +235,7 @@
 
 // meanShareSince returns the mean CPU share of a run since from, given its current share,
 // and the uncertainty of that mean.
-func (r *run) meanShareSince(from, now time.Duration, share float64) (mean, deviation float64) {
+func (r *run) meanShareSince(from, now time.Duration, share float64) (mean, uncertainty float64) {
 	changed := max(r.startedAt, r.throttledAt)
 	if changed <= from || now <= from {
 		return share, 0
--- a/internal/sched/drive/load_test.go
+++ b/internal/sched/drive/load_test.go
@@ -71,7 +71,7 @@
 	adds           float64 // to the logarithm of the tail latency, per whole agent
 	cpuMillis      uint64  // of a job
 	submitInterval int     // ticks between jobs
-	reportNoise    float64 // relative error of reported tail latencies, alternately too low and too high
+	reportNoise    float64 // relative error of reported tail latencies, up and down by turns
 }
 
 // scenarioResult holds the share of time over the target, the longest time over it, the share of
@@ -82,7 +82,7 @@
 	completed             int
 }
 
-const targetMillis = 50 // milliseconds
+const targetMillis = 50
 
 func (c interferenceScenario) tail(agent *modelAgent, _ *modelRun) int {
 	phase := math.Sin(2 * math.Pi * agent.sim.now.Seconds() / 14)
@@ -121,10 +121,10 @@
 			s.submitJob(&wire.Step{Count: 1, CpuMillis: c.cpuMillis, MemoryMb: 10, EstimateMs: 1500, Opportunistic: true, Checkpointable: true, Image: "beside"})
 		}
 		s.run(simTick, 0)
-		for _, agent := range s.agents {
-			for _, run := range agent.runs {
+		for _, a := range s.agents {
+			for _, run := range a.runs {
 				switch {
-				case run.step.Standing && c.tail(agent, run) > targetMillis:
+				case run.step.Standing && c.tail(a, run) > targetMillis:
 					readings++
 					result.overTarget++
 					since[run] += simTick
@@ -151,7 +151,7 @@
 	return result
 }
 
-// Guards against opportunistic work that is throttled or moved without interfering, while a
+// Guards against opportunistic work that is throttled or evicted without interfering, while a
 // standing task's baseline is near its target.
 func TestHarmlessWorkIsNotThrottled(t *testing.T) {
 	got := interferenceScenario{low: 20, high: 47, adds: 0.05, cpuMillis: 1200, submitInterval: 20}.run()
@@ -201,8 +201,8 @@
 	s.submitJob(&wire.Step{Count: 4, CpuMillis: 1000, MemoryMb: 10, EstimateMs: 60000, Opportunistic: true, Image: "beside"})
 	s.run(6*time.Second, 0)
 	halted := 0
-	for _, agent := range s.agents {
-		for _, run := range agent.runs {
+	for _, a := range s.agents {
+		for _, run := range a.runs {
 			if run.cpuPercent == 0 {
 				halted++
 			}
--- a/internal/sched/drive/lost.go
+++ b/internal/sched/drive/lost.go
@@ -15,12 +15,13 @@
 const (
 	// maxLostListed limits the runs in one log line; each takes about 40 bytes.
 	maxLostListed = 40
-	// startWindow is how long after its first confirmation a run counts as just started.
-	// Idle agents report every 1.5 s, so a run that was listed twice has started.
+	// startWindow is the span between a run's first and latest confirmation up to which it
+	// counts as just started. Idle agents answer a poll every 1.5 s, so a run that was
+	// listed twice has started.
 	startWindow = time.Second
-	// crashBlameWindow is how long after its first confirmation a run may be blamed for a
-	// crash of its agent. Standing tasks outlive it and so aren't blamed for the many
-	// agents that they see fail.
+	// crashBlameWindow is the same span up to which a run may be blamed for a crash of its
+	// agent. It is short against the lifetime of an agent, so that standing tasks, which see
+	// many agents fail, aren't blamed for them.
 	crashBlameWindow = 10 * time.Second
 )
 
@@ -36,12 +37,13 @@
 )
 
 // endLostRuns ends the runs of an agent before it is dropped, if more has to be recorded
-// than their loss: a checkpoint, or that the run may have crashed the agent. No run is
-// blamed if the agent had announced that it leaves, or if it became unreachable without
-// closing its connections, as in a network partition or when its instance goes down;
-// otherwise repeated partitions would fail jobs that did nothing wrong. An agent that
-// never answered this leader counts as crashed. For a task that was blamed before, every
-// loss counts, as connections may time out just before a crash.
+// than their loss: a checkpoint, or that the run may have crashed the agent. Runs are
+// blamed only if the agent was superseded, had not announced that it leaves and closed its
+// connections. An agent that became unreachable without closing them was cut off or went
+// down with its instance; blaming its runs would fail jobs that did nothing wrong after
+// repeated partitions. The connections don't matter for an agent that never answered this
+// leader, and for a task that was blamed before, as they may become unresponsive just
+// before a crash.
 func (e *Engine) endLostRuns(a *agent, cause dropCause) {
 	crashed := cause == superseded && !a.record.Leaving
 	evident := a.connectionClosed || !a.synced
--- a/internal/sched/drive/metrics.go
+++ b/internal/sched/drive/metrics.go
@@ -19,12 +19,13 @@
 	runsEvicted        = metrics.NewCounter("sycamoredeck_runs_moved_away_total")
 	opportunisticHalts = metrics.NewCounter("sycamoredeck_opportunistic_halts_total")
 	reportsIgnored     = metrics.NewCounter("sycamoredeck_agent_reports_ignored_total")
-	// staleReports counts heartbeats of removed agents, endsSkipped completions that were
-	// skipped by their number although their run is considered present.
-	staleReports = metrics.NewCounter("sycamoredeck_agent_reports_overlooked_total")
-	endsSkipped  = metrics.NewCounter("sycamoredeck_run_ends_skipped_total")
-	runsStalled  = metrics.NewCounter("sycamoredeck_runs_stalled_total")
-	readyToStart = metrics.NewHistogram("sycamoredeck_task_wait_seconds")
+	// staleReports counts heartbeats of incarnations that were dropped or have a successor,
+	// completionsSkipped completions that were skipped by their number although their run is
+	// considered present.
+	staleReports       = metrics.NewCounter("sycamoredeck_agent_reports_overlooked_total")
+	completionsSkipped = metrics.NewCounter("sycamoredeck_run_ends_skipped_total")
+	runsStalled        = metrics.NewCounter("sycamoredeck_runs_stalled_total")
+	readyToStart       = metrics.NewHistogram("sycamoredeck_task_wait_seconds")
 )
 
 // outcomeNames and outcomeCounters are precomputed, as thousands of runs may end in a
--- a/internal/sched/drive/model_test.go
+++ b/internal/sched/drive/model_test.go
@@ -40,14 +40,14 @@
 		// incarnation is the incarnation in its answers. The record may lack it, since
 		// replicas of earlier versions drop it from reports.
 		incarnation uint64
-		offset      time.Duration
-		rate        float64
+		offset      time.Duration // of its clock
+		rate        float64       // of its clock
 		fence       uint64
 		deadline    time.Duration
 		runs        map[string]*modelRun
 		closed      map[string]uint32 // highest number of a stopped or ended run, by task
 		completions []drive.Completion
-		number      uint64
+		number      uint64 // of the last completion
 		// lastExpired is the number of the last completion when the lease last expired. Later
 		// acknowledgements of completions up to it aren't checked.
 		lastExpired  uint64
@@ -64,7 +64,7 @@
 		nextHeartbeat time.Duration
 	}
 
-	// waitingPoll is a long poll whose answer waits for a completion.
+	// waitingPoll is a long poll that is answered at the first completion or at until.
 	waitingPoll struct {
 		order drive.Order
 		until time.Duration
@@ -167,7 +167,7 @@
 		}
 	}
 	step := a.sim.steps[fmt.Sprintf("%s.%d", o.Run.Job, o.Run.Step)]
-	if !step.Opportunistic && a.committed()+step.CpuMillis > a.record.CpuMillis {
+	if !step.Opportunistic && a.requestedCPU()+step.CpuMillis > a.record.CpuMillis {
 		shrunk := a.fullCPUMillis > 0 && (a.sim.now < a.shrunkAt+shrinkSyncLimit || a.sim.now < a.unreachableUntil+shrinkSyncLimit)
 		a.sim.check(a.sim.guarded || shrunk, "%s is overcommitted by %s, ordered at %v, shrunk at %v", a.record.Id, key, o.SentAt, a.shrunkAt)
 		return drive.RefusedCapacity
@@ -188,7 +188,7 @@
 	return drive.Accepted
 }
 
-func (a *modelAgent) committed() uint64 {
+func (a *modelAgent) requestedCPU() uint64 {
 	var sum uint64
 	for _, run := range a.runs {
 		if !run.step.Opportunistic {
@@ -206,7 +206,7 @@
 	}
 }
 
-// tick advances the agent's runs.
+// tick advances the agent's runs and answers the long polls that are due.
 func (a *modelAgent) tick(step time.Duration) {
 	if a.deadline > 0 && a.clock() > a.deadline {
 		for _, key := range a.runKeys() {
--- a/internal/sched/drive/order.go
+++ b/internal/sched/drive/order.go
@@ -19,7 +19,7 @@
 	Order struct {
 		Kind  Kind
 		Agent *wire.Agent
-		// Incarnation is the process that the order is for, or 0 if unknown. Any other
+		// Incarnation identifies the process that the order is for; 0 if unknown. Any other
 		// process must not execute it, even under the same id and address, and answers
 		// OtherIncarnation.
 		Incarnation uint64
@@ -37,9 +37,9 @@
 		Deadline time.Duration
 		// LastAcked acknowledges all completions up to this number. Set for polls.
 		LastAcked uint64
-		// Wait is how long the agent may hold back its answer to a poll until a run ends.
+		// Wait is how long the agent may hold back its answer to a poll while no run ends.
 		Wait time.Duration
-		// CPUPercent is the share of its CPU that a throttled run may use.
+		// CPUPercent is the share of its CPU that a throttled run may use, in percent.
 		CPUPercent int
 		// SentAt is when the order was sent, on the boot clock.
 		SentAt time.Duration
@@ -52,7 +52,7 @@
 		// ClockKnown indicates that Clock is the agent's clock at the time of the answer.
 		ClockKnown bool
 		Clock      time.Duration
-		// Incarnation is the process that answered a poll; 0 if unknown.
+		// Incarnation identifies the process that answered a poll; 0 if unknown.
 		Incarnation uint64
 		Running     []RunStatus
 		Completions []Completion
@@ -96,7 +96,7 @@
 const (
 	// NoAnswer: the order may have been executed, or may be executed later.
 	NoAnswer Verdict = iota
-	// NotSent: the order did not reach the agent.
+	// NotSent: the order is known not to have reached the agent.
 	NotSent
 	// Accepted: the order was executed, now or by an earlier copy.
 	Accepted
--- a/internal/sched/drive/order_test.go
+++ b/internal/sched/drive/order_test.go
@@ -121,22 +121,22 @@
 	assert.Equal(t, s.task().Run, uint32(0))
 }
 
-// Guards against a task that waits forever after its run disappeared from the agent's report
+// Guards against a task that waits forever after its run disappeared from the agent's answers
 // without a completion.
 func TestMissingRunIsResolved(t *testing.T) {
 	s := newScriptedEngine(t)
 	s.answer(s.next(drive.Poll), drive.Accepted)
 	s.answer(s.next(drive.Start), drive.Accepted)
 	s.now += time.Second
-	s.answer(s.next(drive.Poll), drive.Accepted) // sent before the start was answered, so it doesn't resolve the run
+	s.answer(s.next(drive.Poll), drive.Accepted) // sent before the start was answered: resolves nothing
 	assert.Equal(t, s.task().Agent, "a")
 	s.now += time.Second
 	s.answer(s.next(drive.Poll), drive.Accepted)
 	assert.Equal(t, s.task().Agent, "")
 }
 
-// Guards against work of a lost agent that restarts without its checkpoint: a lost agent reports
-// no completions, so checkpoints must also be saved from its earlier reports.
+// Guards against work of a lost agent that restarts without its checkpoint: a lost agent lists
+// no completions, so checkpoints must also be saved from its earlier answers to polls.
 func TestWorkOfLostAgentResumes(t *testing.T) {
 	s := newScriptedEngine(t)
 	s.answer(s.next(drive.Poll), drive.Accepted)
--- a/internal/sched/drive/persist.go
+++ b/internal/sched/drive/persist.go
@@ -1,4 +1,4 @@
-// This file defines how estimates are handed on to later leaders.
+// This file defines how the tail model is handed on to later leaders.
 
 package drive
 
@@ -11,11 +11,11 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// saveInterval is the interval at which changed estimates are committed; a failed leader
-// loses no more than that.
+// saveInterval is the interval at which a changed tail model is committed. No more than
+// the changes of one interval are lost with a leader.
 const saveInterval = 2 * time.Second
 
-// restoreEstimates loads the estimates of earlier leaders. Without them every pair of
+// restoreEstimates loads the tail model of earlier leaders. Without it every pair of
 // images would be tried again after a change of leader, including those that interfere.
 func (e *Engine) restoreEstimates() {
 	e.savedEstimates = e.graph.Estimates()
@@ -25,16 +25,16 @@
 	}
 }
 
-// saveEstimates commits the estimates if they have changed.
+// saveEstimates commits the tail model if it has changed.
 func (e *Engine) saveEstimates() {
 	if e.now < e.nextSave || !e.enabled(PersistEstimates) {
 		return
 	}
 	e.nextSave = e.now + saveInterval
-	learned := e.tailModel.Save()
-	if len(learned.Pairs) == 0 || proto.Equal(learned, e.savedEstimates) {
+	saved := e.tailModel.Save()
+	if len(saved.Pairs) == 0 || proto.Equal(saved, e.savedEstimates) {
 		return
 	}
-	e.savedEstimates = learned
-	e.propose(&wire.WorkCommand{Body: &wire.WorkCommand_Learned{Learned: learned}}, nil)
+	e.savedEstimates = saved
+	e.propose(&wire.WorkCommand{Body: &wire.WorkCommand_Learned{Learned: saved}}, nil)
 }
--- a/internal/sched/drive/place.go
+++ b/internal/sched/drive/place.go
@@ -32,7 +32,7 @@
 		summaries  map[string]*poolSummary // by pool
 		wallTime   time.Time
 		placed     []*wire.RunPlacement
-		// unplaceable holds, by task class, the smallest task that didn't fit on any
+		// unplaceable holds, by task class, the size of the latest task that fit on no
 		// agent in this pass; zero if there is none.
 		unplaceable []taskSize
 	}
@@ -109,7 +109,7 @@
 		e.syncTask(a, t)
 		r := e.runs[t]
 		if e.reasonToStop(r) != "" {
-			e.resolve(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, "cancelled before the start was sent")
+			e.resolve(r, wire.RunOutcome_RUN_OUTCOME_NOT_STARTED, "no longer needed before the start was sent")
 			continue
 		}
 		e.start(r)
@@ -201,11 +201,11 @@
 	return taskSize{step.CpuMillis, step.MemoryMb, step.Accelerators}
 }
 
-// knownUnplaceable reports whether a task of the same class and at most the same size has
-// fit on no agent in this pass. Under overload this saves a search for most stages.
+// knownUnplaceable reports whether a task of the same class and at most the same size is
+// known to fit on no agent in this pass. Under overload this saves a search for most stages.
 func (p *pass) knownUnplaceable(r *rankedStage) bool {
-	n, step := p.unplaceable[r.class], r.stage.Step
-	return n != taskSize{} && step.CpuMillis >= n.cpuMillis && step.MemoryMb >= n.memoryMB && step.Accelerators >= n.accelerators &&
+	size, step := p.unplaceable[r.class], r.stage.Step
+	return size != taskSize{} && step.CpuMillis >= size.cpuMillis && step.MemoryMb >= size.memoryMB && step.Accelerators >= size.accelerators &&
 		!step.Gang && !r.advised
 }
 
--- a/internal/sched/drive/poll.go
+++ b/internal/sched/drive/poll.go
@@ -5,13 +5,14 @@
 import "time"
 
 const (
-	// maxPollWait is how long a poll waits for a completion. Longer waits mean fewer
-	// calls, but a lease has to be renewed several times before it expires.
+	// maxPollWait is how long a poll waits for a completion at most. Longer waits mean
+	// fewer calls, but a lease has to be renewed several times before it expires.
 	maxPollWait = 1500 * time.Millisecond
 	// tailPollWait is the wait on agents with latency targets. Tail latencies are
 	// measured over half a second.
 	tailPollWait = 300 * time.Millisecond
-	// maxTailPollsPerSecond limits the leader's CPU time for polling latency targets.
+	// maxTailPollsPerSecond limits the polls of agents with latency targets, each of which
+	// costs the leader CPU time.
 	maxTailPollsPerSecond = 800
 	// longPollShare is the share of the connections to agents that waiting polls may
 	// occupy. The rest is for orders and for polls that don't wait.
@@ -30,7 +31,7 @@
 // A waiting poll occupies a connection. If there are too few connections for all agents,
 // only polls of agents with runs that end by themselves wait. The others are polled
 // equally often with a pause in between, during which other agents use the connection.
-// Otherwise agents without a connection would lose their leases.
+// Otherwise agents that get no connection would seem unreachable and lose their leases.
 func (e *Engine) planPoll(a *agent) pollPlan {
 	interval := maxPollWait
 	switch {
--- a/internal/sched/drive/poll_test.go
+++ b/internal/sched/drive/poll_test.go
@@ -47,9 +47,9 @@
 	s.maxConnections, s.connectionsInUse = 1, 1
 	s.run(100*time.Millisecond, 0)
 	task := s.graph.Job(s.jobs[0]).Occurrences[0][0].Tasks[0]
-	for _, agent := range s.agents {
-		if agent.record.Id == task.Agent {
-			agent.unreachableUntil = s.now + time.Minute
+	for _, a := range s.agents {
+		if a.record.Id == task.Agent {
+			a.unreachableUntil = s.now + time.Minute
 		}
 	}
 	s.run(2500*time.Millisecond, 0)
--- a/internal/sched/drive/queue.go
+++ b/internal/sched/drive/queue.go
@@ -22,19 +22,19 @@
 
 // pendingQueue holds the ready stages in scheduling order. The zero value is empty.
 type pendingQueue struct {
-	sorted, newlySorted []rankedStage // each in scheduling order
-	listed              map[*graph.Stage]bool
-	rebuildAt           time.Duration
-	overloaded          map[string]bool
-	classes             map[taskClass]int
+	sorted, added []rankedStage // each in scheduling order
+	listed        map[*graph.Stage]bool
+	rebuildAt     time.Duration
+	overloaded    map[string]bool
+	classes       map[taskClass]int
 }
 
-func (q *pendingQueue) empty() bool { return len(q.sorted)+len(q.newlySorted) == 0 }
+func (q *pendingQueue) empty() bool { return len(q.sorted)+len(q.added) == 0 }
 
 // each calls f for each stage in order until f returns false. Stages without tasks left
 // to place are skipped.
 func (q *pendingQueue) each(f func(*rankedStage) bool) {
-	sorted, added := q.sorted, q.newlySorted
+	sorted, added := q.sorted, q.added
 	for len(sorted)+len(added) > 0 {
 		var next *rankedStage
 		if len(added) == 0 || len(sorted) > 0 && sorted[0].before(&added[0]) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// classNumber numbers the task classes.
+// classNumber returns the number of a task class, a new one if it has none yet.
 func (q *pendingQueue) classNumber(class taskClass) int {
 	n, known := q.classes[class]
 	if !known {
@@ -70,17 +70,17 @@
 		if s.Ready() && !e.queue.listed[s] && !s.Due.After(wall) {
 			e.recordReady(s)
 			e.queue.listed[s] = true
-			e.queue.newlySorted = append(e.queue.newlySorted, e.rankNew(s, wall))
+			e.queue.added = append(e.queue.added, e.rankNew(s, wall))
 		}
 	}
-	slices.SortFunc(e.queue.newlySorted, compareStages)
+	slices.SortFunc(e.queue.added, compareStages)
 }
 
 func (e *Engine) rebuildQueue(stages []*graph.Stage, wall time.Time) {
 	e.updateOrdinaryDemand(stages)
 	e.removeEndedStages()
 	e.queue = pendingQueue{
-		sorted: e.queue.sorted[:0], newlySorted: e.queue.newlySorted[:0], listed: make(map[*graph.Stage]bool, len(stages)),
+		sorted: e.queue.sorted[:0], added: e.queue.added[:0], listed: make(map[*graph.Stage]bool, len(stages)),
 		rebuildAt: e.now + min(time.Duration(len(stages))*queueAgePerStage, maxQueueAge), classes: map[taskClass]int{},
 	}
 	for _, s := range stages {
--- a/internal/sched/drive/rank.go
+++ b/internal/sched/drive/rank.go
@@ -109,7 +109,7 @@
 const (
 	inTime  = iota // it can meet its objective
 	late           // it can end within lateFactor times its objective
-	tooLate        // it can't
+	tooLate        // it can do neither
 )
 
 var prospectNames = [...]string{inTime: "in time", late: "late", tooLate: "too late"}
@@ -132,7 +132,7 @@
 	advised bool
 }
 
-// compareStages is before as a comparison function.
+// compareStages compares two stages by before, for sorting.
 func compareStages(a, b rankedStage) int {
 	switch {
 	case a.stage == b.stage:
@@ -181,11 +181,11 @@
 	age := wall.Sub(begin)
 	r := rankedStage{stage: s, priority: q.GetPriority(), started: s.Job.Started()}
 	r.first = s.Standing() && s.HasRun() || s.OnFinalAttempt()
-	left := time.Duration(float64(s.CriticalPath) * factor)
-	r.slack = objective - left - age
+	remaining := time.Duration(float64(s.CriticalPath) * factor)
+	r.slack = objective - remaining - age
 	if r.slack < 0 {
 		r.prospect = late
-		r.slack = lateFactor*objective - age - left
+		r.slack = lateFactor*objective - age - remaining
 	}
 	if r.slack < 0 {
 		r.prospect = tooLate
--- a/internal/sched/drive/registration.go
+++ b/internal/sched/drive/registration.go
@@ -153,8 +153,9 @@
 	e.options.Logger.Info("agent left", "agent", gone.Record.Id, "incarnation", gone.Record.Incarnation)
 }
 
-// goneProcess returns the process that such a notice refers to: the earliest one that is
-// leaving, or one without an incarnation, which never shares its agent's id. Nil if none.
+// goneProcess returns the process that a notice of shutdown refers to: the earliest one
+// that is leaving, or one without an incarnation, whose id no other process uses. Nil if
+// none.
 func (e *Engine) goneProcess(name string) *graph.Agent {
 	var gone *graph.Agent
 	for _, other := range e.graph.Agents() {
--- a/internal/sched/drive/report.go
+++ b/internal/sched/drive/report.go
@@ -36,7 +36,7 @@
 	}
 	if record == nil || e.graph.AgentRemoved(record.Id) {
 		e.logStaleReport(report.Agent)
-		done(nil) // sent before the agent was dropped
+		done(nil) // sent before the process was dropped or replaced
 		return
 	}
 	registered := e.graph.Agent(record.Id)
@@ -76,10 +76,10 @@
 // used.
 func (e *Engine) logStaleReport(record *wire.Agent) {
 	staleReports.Inc()
-	if lastLogged, logged := e.ignoredReports[record.Id]; logged && lastLogged == record.Incarnation {
+	if lastLogged, logged := e.loggedStale[record.Id]; logged && lastLogged == record.Incarnation {
 		return
 	}
-	e.ignoredReports[record.Id] = record.Incarnation
+	e.loggedStale[record.Id] = record.Incarnation
 	e.options.Logger.Info("heartbeat from a removed incarnation", "agent", record.Id, "address", record.Address, "incarnation", record.Incarnation)
 }
 
@@ -107,7 +107,7 @@
 
 // registrable reports whether an agent may be registered or updated. Its pool has to be
 // in the catalog, so that heartbeats can't fill the state and the log with agents that
-// nothing runs on; it is accepted with a later heartbeat once the pool exists. The
+// nothing runs on; the agent is accepted with a later heartbeat once the pool exists. The
 // address and pool of an incarnation are fixed.
 func (e *Engine) registrable(registered *graph.Agent, reported *wire.Agent) bool {
 	if registered == nil {
--- a/internal/sched/drive/reserve.go
+++ b/internal/sched/drive/reserve.go
@@ -1,5 +1,5 @@
 // This file defines the reservation of capacity: for ordinary tasks against new standing
-// tasks, and for standing tasks that have to be restarted.
+// tasks, and for standing tasks that have to be restarted and tasks on their final attempt.
 
 package drive
 
@@ -87,20 +87,20 @@
 
 // reserveForStanding reserves an agent for a standing task that ran before, or for a task
 // on its final attempt: nothing else is placed there until the task fits. Otherwise short
-// tasks would fill each gap before it is large enough. The agent stays the same over all
-// passes.
+// tasks would fill each gap before it is large enough, and there would always be
+// unconfirmed runs next to a final attempt. The agent stays the same over all passes.
 func (p *pass) reserveForStanding(t *graph.Task, candidates []*freeResources) {
 	var best *freeResources
-	for _, free := range candidates {
-		if free.reservedFor != nil || !free.fitsExceptCPU(t.Stage) || free.cpuMillis+free.ordinaryMillis < float64(t.Stage.Step.CpuMillis) {
+	for _, f := range candidates {
+		if f.reservedFor != nil || !f.fitsExceptCPU(t.Stage) || f.cpuMillis+f.ordinaryMillis < float64(t.Stage.Step.CpuMillis) {
 			continue
 		}
-		if free.agent.record.Id == p.engine.reservations[t] {
-			best = free
+		if f.agent.record.Id == p.engine.reservations[t] {
+			best = f
 			break
 		}
-		if best == nil || free.cpuMillis+free.ordinaryMillis > best.cpuMillis+best.ordinaryMillis {
-			best = free
+		if best == nil || f.cpuMillis+f.ordinaryMillis > best.cpuMillis+best.ordinaryMillis {
+			best = f
 		}
 	}
 	if best == nil {
--- a/internal/sched/drive/reserve_test.go
+++ b/internal/sched/drive/reserve_test.go
@@ -16,8 +16,8 @@
 // disabled returns a set of features to disable.
 func disabled(features ...drive.Feature) map[drive.Feature]bool {
 	set := map[drive.Feature]bool{}
-	for _, feature := range features {
-		set[feature] = true
+	for _, f := range features {
+		set[f] = true
 	}
 	return set
 }
--- a/internal/sched/drive/resources.go
+++ b/internal/sched/drive/resources.go
@@ -25,8 +25,8 @@
 		// leave it unused, in millicores.
 		reclaimable     float64
 		capacityMillis  float64
-		standing        int
-		standingByImage map[string]int // number of standing tasks by image
+		standing        int            // number of standing tasks
+		standingByImage map[string]int // the same by image
 		latencyTasks    []latencyTask
 		// tailsPredicted indicates that latencyTasks is filled in, which is done only
 		// when a task that may interfere with others could be placed here.
@@ -136,7 +136,7 @@
 	}
 }
 
-// newLatencyTask returns a standing task with an expected utilization of busy.
+// newLatencyTask returns a standing task with the given expected utilization.
 func (e *Engine) newLatencyTask(target tails.Target, utilization float64) latencyTask {
 	return latencyTask{image: target.Image, expectedUtilization: utilization, utilizationLimit: e.tailModel.Utilization(target, target.Milliseconds*throttleGoalShare)}
 }
@@ -155,65 +155,65 @@
 	return added, acceptable
 }
 
-// assume reserves the resources of a task for this pass, until its placement is
-// committed.
-func (free *freeResources) assume(t *graph.Task) {
-	free.agent.freeStale = true
-	free.reserve(t.Stage)
-	free.recordCrashRisk(t, 0)
-	free.reclaimable -= defaultCPU(t.Stage.Step)
+// assume reserves the resources of a task for the rest of this pass. The next pass
+// recomputes them from the placements that were committed.
+func (f *freeResources) assume(t *graph.Task) {
+	f.agent.freeStale = true
+	f.reserve(t.Stage)
+	f.recordCrashRisk(t, 0)
+	f.reclaimable -= defaultCPU(t.Stage.Step)
 }
 
 // overcommitted reports whether the runs on the agent request more than its capacity,
 // which may have shrunk since they were placed. An agent that doesn't enforce its
 // capacity must not be sent further starts then.
-func (free *freeResources) overcommitted() bool {
-	return free.cpuMillis < 0 || free.memoryMB < 0 || free.accelerators < 0
+func (f *freeResources) overcommitted() bool {
+	return f.cpuMillis < 0 || f.memoryMB < 0 || f.accelerators < 0
 }
 
 // reserve subtracts the requested resources of one task of a stage.
-func (free *freeResources) reserve(s *graph.Stage) {
+func (f *freeResources) reserve(s *graph.Stage) {
 	step := s.Step
 	cpu := float64(step.CpuMillis)
 	switch {
 	case step.Opportunistic:
 	case step.Standing:
-		free.cpuMillis -= cpu
-		free.standing++
-		free.standingByImage[step.Image]++
+		f.cpuMillis -= cpu
+		f.standing++
+		f.standingByImage[step.Image]++
 	default:
-		free.cpuMillis -= cpu
-		free.ordinaryMillis += cpu
+		f.cpuMillis -= cpu
+		f.ordinaryMillis += cpu
 	}
-	free.memoryMB -= float64(step.MemoryMb)
-	free.accelerators -= float64(step.Accelerators)
-	free.tasksByStage[s]++
+	f.memoryMB -= float64(step.MemoryMb)
+	f.accelerators -= float64(step.Accelerators)
+	f.tasksByStage[s]++
 }
 
 // fits reports whether a task of the stage may be placed here.
-func (free *freeResources) fits(s *graph.Stage) bool {
+func (f *freeResources) fits(s *graph.Stage) bool {
 	step := s.Step
 	switch {
-	case free.finalAttempt || free.reservedFor != nil && free.reservedFor != s:
+	case f.finalAttempt || f.reservedFor != nil && f.reservedFor != s:
 		return false
-	case !step.Opportunistic && free.cpuMillis < float64(step.CpuMillis):
+	case !step.Opportunistic && f.cpuMillis < float64(step.CpuMillis):
 		return false
-	case step.Opportunistic && (free.reclaimable < defaultCPU(step) || free.agent.opportunisticHalted):
+	case step.Opportunistic && (f.reclaimable < defaultCPU(step) || f.agent.opportunisticHalted):
 		return false
 	default:
-		return free.fitsExceptCPU(s)
+		return f.fitsExceptCPU(s)
 	}
 }
 
 // fitsExceptCPU reports whether a task of the stage may be placed here, given enough CPU.
-func (free *freeResources) fitsExceptCPU(s *graph.Stage) bool {
+func (f *freeResources) fitsExceptCPU(s *graph.Stage) bool {
 	step := s.Step
 	switch {
-	case free.memoryMB < float64(step.MemoryMb) || free.accelerators < float64(step.Accelerators):
+	case f.memoryMB < float64(step.MemoryMb) || f.accelerators < float64(step.Accelerators):
 		return false
-	case step.SpreadLimit > 0 && free.tasksByStage[s] >= int(step.SpreadLimit):
+	case step.SpreadLimit > 0 && f.tasksByStage[s] >= int(step.SpreadLimit):
 		return false
-	case step.RequiredLabel != "" && !hasLabel(free.agent.record, step.RequiredLabel):
+	case step.RequiredLabel != "" && !hasLabel(f.agent.record, step.RequiredLabel):
 		return false
 	default:
 		return true
--- a/internal/sched/drive/restart_test.go
+++ b/internal/sched/drive/restart_test.go
@@ -218,7 +218,7 @@
 	})
 	s.run(time.Second, 0)
 	_, registered := s.graph.Agents()["r-1@2"]
-	assert.Assert(t, registered, "the current agent was abandoned: %v", s.graph.Agents())
+	assert.Assert(t, registered, "the current agent was dropped: %v", s.graph.Agents())
 	s.submitJob(&wire.Step{Count: 4, CpuMillis: 1000, EstimateMs: 500})
 	s.run(5*time.Second, 0)
 	s.assertCompleted(t)
--- a/internal/sched/drive/risk.go
+++ b/internal/sched/drive/risk.go
@@ -21,8 +21,8 @@
 	// agent, since all of its runs are lost in a crash.
 	occupancyCost = 2.0
 	// maxFinalAttemptShare is the share of a pool's agents on which tasks may make their
-	// final attempt at the same time. Nothing else is placed on those agents.
-	// Agents without runs don't count.
+	// final attempt at the same time. Nothing else is placed on those agents, so enough
+	// others have to remain. Agents without runs don't count.
 	maxFinalAttemptShare = 0.25
 )
 
@@ -36,7 +36,7 @@
 }
 
 // empty reports whether the agent has no runs, started or about to start.
-func (free *freeResources) empty() bool { return len(free.agent.runs) == 0 && free.unconfirmed == 0 }
+func (f *freeResources) empty() bool { return len(f.agent.runs) == 0 && f.unconfirmed == 0 }
 
 // allowsFinalAttempt reports whether another agent of the pool may be used for a final
 // attempt.
@@ -52,29 +52,29 @@
 }
 
 // recordCrashRisk records whether a run may crash the agent, or be blamed for a crash.
-func (free *freeResources) recordCrashRisk(t *graph.Task, confirmedFor time.Duration) {
+func (f *freeResources) recordCrashRisk(t *graph.Task, confirmedFor time.Duration) {
 	if confirmedFor == 0 {
-		free.unconfirmed++
+		f.unconfirmed++
 	}
 	if t.Suspect() && confirmedFor < startWindow {
-		free.suspects++
+		f.suspects++
 	}
 	if t.OnFinalAttempt() && confirmedFor < finalAttemptWindow(t) {
-		free.finalAttempt = true
+		f.finalAttempt = true
 	}
 }
 
 // crashCost returns the cost of placing a task here with regard to crashes. The final
 // attempt of a task decides whether its job fails, so it is not placed next to a run that
 // might be the cause instead, and fits rejects all other tasks until it is over.
-func (free *freeResources) crashCost(t *graph.Task) float64 {
+func (f *freeResources) crashCost(t *graph.Task) float64 {
 	switch {
 	case !t.Suspect():
 		return 0
-	case t.OnFinalAttempt() && free.suspects+free.unconfirmed > 0:
+	case t.OnFinalAttempt() && f.suspects+f.unconfirmed > 0:
 		return math.Inf(1)
 	default:
-		taken := 1 - free.cpuMillis/max(free.capacityMillis, 1)
-		return float64(free.suspects)*colocatedSuspectCost + float64(free.unconfirmed)*colocatedUnconfirmedCost + occupancyCost*taken
+		occupied := 1 - f.cpuMillis/max(f.capacityMillis, 1)
+		return float64(f.suspects)*colocatedSuspectCost + float64(f.unconfirmed)*colocatedUnconfirmedCost + occupancyCost*occupied
 	}
 }
--- a/internal/sched/drive/run.go
+++ b/internal/sched/drive/run.go
@@ -37,7 +37,7 @@
 	stopRetryInterval = 500 * time.Millisecond
 	// throttleRetryInterval is the pause before a failed throttle order is repeated.
 	throttleRetryInterval = 300 * time.Millisecond
-	// leaveMargin is added to StopGrace: so long before an agent leaves, its
+	// leaveMargin, in addition to StopGrace, is how long before an agent leaves its
 	// checkpointable runs are stopped.
 	leaveMargin = 400 * time.Millisecond
 )
@@ -52,7 +52,7 @@
 	// While they differ, a start may still be in flight.
 	startsSent, startsAnswered int
 	nextStart                  time.Duration
-	trackedAt                  time.Duration // when this leader first saw it
+	trackedAt                  time.Duration // when this leader began to track it
 	startedAt                  time.Duration // when it was first known to be running
 	closedAt                   time.Duration // when it entered phaseClosed
 	confirmedAt                time.Duration // when the agent last confirmed it
@@ -65,7 +65,7 @@
 	checkpoint      string // the latest that the agent reported
 	progressPercent int
 	progressAt      time.Duration
-	usage           int
+	usage           int // as RunStatus.Usage
 	usageAt         time.Duration
 	cpuPercent      int
 	targetPercent   int
@@ -78,9 +78,9 @@
 	// peakBaseline caches peakBaselineOf as of peakAt, for the reading at peakReadingAt.
 	peakBaseline          float64
 	peakReadingAt, peakAt time.Duration
-	// listedAt is when the agent last listed the run as running or ended.
+	// listedAt is when the agent last listed a run of the task, running or ended.
 	listedAt        time.Duration
-	overTargetSince time.Duration // when its tail latency exceeded the target; 0 if it doesn't
+	overTargetSince time.Duration // since when its tail latency exceeds the target; 0 if it doesn't
 	endPending      bool          // its end is being committed
 }
 
@@ -305,7 +305,8 @@
 	r.phase, r.closedAt = phaseClosed, e.now
 }
 
-// resolveMissingRuns resolves the runs that are missing from the agent's report.
+// resolveMissingRuns resolves the runs that the agent doesn't list in its answer to a
+// poll.
 func (e *Engine) resolveMissingRuns(a *agent, ans Answer) {
 	if len(ans.Completions) >= maxListedCompletions {
 		return // the list may be truncated
@@ -343,7 +344,7 @@
 	}
 }
 
-// resolve commits the end of a run that the agent didn't report.
+// resolve commits the end of a run for which the agent listed no completion.
 func (e *Engine) resolve(r *run, outcome wire.RunOutcome, reason string) {
 	r.endPending = true
 	id := r.id()
--- a/internal/sched/drive/search.go
+++ b/internal/sched/drive/search.go
@@ -27,7 +27,7 @@
 	search struct {
 		pass        *pass
 		stage       *graph.Stage
-		free        []*freeResources
+		candidates  []*freeResources
 		next        int // index of the next agent to rate
 		remaining   int // agents that weren't considered
 		sampleLimit int // number of ratings before the best is taken
@@ -37,7 +37,7 @@
 	// rating is the cost of placing a task on a feasible agent.
 	rating struct {
 		free  *freeResources
-		index int // in search.free, to break ties
+		index int // in search.candidates, to break ties
 		cost  float64
 	}
 
@@ -56,14 +56,14 @@
 
 func summarize(candidates []*freeResources) *poolSummary {
 	s := &poolSummary{agents: len(candidates)}
-	for _, free := range candidates {
-		if free.finalAttempt {
+	for _, f := range candidates {
+		if f.finalAttempt {
 			s.finalAttempts++
 		}
-		s.freeMillis += free.cpuMillis
-		s.capacityMillis += free.capacityMillis
-		s.largestFree = max(s.largestFree, free.cpuMillis)
-		s.largestReclaimable = max(s.largestReclaimable, free.reclaimable)
+		s.freeMillis += f.cpuMillis
+		s.capacityMillis += f.capacityMillis
+		s.largestFree = max(s.largestFree, f.cpuMillis)
+		s.largestReclaimable = max(s.largestReclaimable, f.reclaimable)
 	}
 	return s
 }
@@ -87,7 +87,7 @@
 }
 
 func (p *pass) newSearch(s *graph.Stage, candidates []*freeResources) *search {
-	sr := &search{pass: p, stage: s, free: candidates, remaining: len(candidates), sampleLimit: len(candidates)}
+	sr := &search{pass: p, stage: s, candidates: candidates, remaining: len(candidates), sampleLimit: len(candidates)}
 	if !p.summaries[p.engine.poolOf(s.Job)].mayFit(s) {
 		sr.remaining = 0
 	}
@@ -103,18 +103,18 @@
 
 // rateMore rates agents until the sample is complete.
 func (sr *search) rateMore() {
-	begun := sr.remaining
+	before := sr.remaining
 	for sr.remaining > 0 && len(sr.ratings) < sr.sampleLimit {
-		free := sr.free[sr.next]
+		free := sr.candidates[sr.next]
 		if free.fits(sr.stage) {
 			if cost := sr.pass.cost(sr.stage, free); !math.IsInf(cost, 1) {
 				sr.ratings = append(sr.ratings, rating{free, sr.next, cost})
 			}
 		}
 		sr.remaining--
-		sr.next = (sr.next + 1) % len(sr.free)
+		sr.next = (sr.next + 1) % len(sr.candidates)
 	}
-	sr.pass.engine.searchOffset += begun - sr.remaining
+	sr.pass.engine.searchOffset += before - sr.remaining
 }
 
 // best returns the agent with the lowest cost for a task, or nil if none is feasible.
--- a/internal/sched/drive/sim_test.go
+++ b/internal/sched/drive/sim_test.go
@@ -28,7 +28,7 @@
 	answerTimeout     = 600 * time.Millisecond
 	commitLatency     = 10 * time.Millisecond
 	// cancelledRunLimit bounds how long a run of a cancelled job may exist while there is a
-	// leader and the agent is reachable: until it is reported and stopped, with one lost
+	// leader and the agent is reachable: until it is listed and stopped, with one lost
 	// order of each kind.
 	cancelledRunLimit = 7 * time.Second
 	// shrinkSyncLimit bounds how long after an agent's capacity has shrunk starts may exceed
@@ -223,12 +223,12 @@
 	}
 	s.after(50*time.Millisecond+time.Duration(len(request.Agents))*5*time.Millisecond, func() {
 		answer := drive.AdviceAnswer{Request: request, Answered: true, ValidFor: 3 * time.Second, Tickets: map[string]string{}}
-		for _, agent := range request.Names {
-			key := fmt.Sprintf("%s.%d.%d/%s", request.Job, request.Occurrence, request.Step, agent)
-			if agent != "r-1" && xxhash.Sum64String(key)%3 == 0 {
+		for _, n := range request.Names {
+			key := fmt.Sprintf("%s.%d.%d/%s", request.Job, request.Occurrence, request.Step, n)
+			if n != "r-1" && xxhash.Sum64String(key)%3 == 0 {
 				continue
 			}
-			answer.Tickets[agent] = key
+			answer.Tickets[n] = key
 			s.issuedTickets[key] = s.now + answer.ValidFor
 		}
 		engine.HandleAdvice(s.now, answer)
@@ -314,18 +314,18 @@
 	}
 }
 
-// endFaults ends all faults.
+// endFaults ends all faults, also those in effect.
 func (s *sim) endFaults() {
 	s.faultsEnded, s.faultsEndedAt, s.faults = true, s.now, faults{disabled: s.faults.disabled}
 	for _, domain := range sortedKeys(s.drainedAt) {
 		s.drain(domain, true)
 	}
-	for _, agent := range s.agents {
-		agent.failing, agent.unreachableUntil = false, min(agent.unreachableUntil, s.now)
+	for _, a := range s.agents {
+		a.failing, a.unreachableUntil = false, min(a.unreachableUntil, s.now)
 	}
 }
 
-// submitRandomJob submits a random job.
+// submitRandomJob submits a job of one to three random steps, or a standing one.
 func (s *sim) submitRandomJob() {
 	spec := &wire.WorkSpec{}
 	for i := range 1 + s.random.IntN(3) {
@@ -357,7 +357,6 @@
 
 func jobID(number int) string { return fmt.Sprintf("%016x", number) }
 
-// submitJob submits a job with the given steps.
 func (s *sim) submitJob(steps ...*wire.Step) {
 	id := jobID(len(s.jobs) + 1)
 	for i, step := range steps {
--- a/internal/sched/drive/sort.go
+++ b/internal/sched/drive/sort.go
@@ -27,7 +27,7 @@
 	a.sortedRuns = slices.Insert(a.sortedRuns, i, r)
 }
 
-// removeRun removes a run. It copies the list, so that a caller may be iterating over it.
+// removeRun removes a run. It copies the list, as a caller may be iterating over it.
 func (a *agent) removeRun(r *run) {
 	delete(a.runs, r.task)
 	kept := make([]*run, 0, len(a.sortedRuns))
--- a/internal/sched/drive/sync.go
+++ b/internal/sched/drive/sync.go
@@ -17,7 +17,7 @@
 // missed event.
 const idleReconcileInterval = time.Second
 
-// loadKey identifies a sum of running work.
+// loadKey identifies a sum in Engine.runningCPU.
 type loadKey struct {
 	queue, pool string // of the job
 	ordinary    bool   // neither standing nor opportunistic
@@ -107,11 +107,11 @@
 	r.agent.markChanged()
 }
 
-// scheduleReconcile reconciles the agent at the next tick.
+// scheduleReconcile makes the agent due at the next reconciliation.
 func (a *agent) scheduleReconcile() { a.reconcileAt = 0 }
 
-// markChanged records that the agent's runs or capacity changed. It is reconciled at the
-// next tick, and its free resources are recomputed.
+// markChanged records that the agent's runs or capacity changed: it is due at the next
+// reconciliation, and its free resources are recomputed.
 func (a *agent) markChanged() {
 	a.scheduleReconcile()
 	a.freeStale = true
--- a/internal/sched/drive/throttle.go
+++ b/internal/sched/drive/throttle.go
@@ -16,15 +16,15 @@
 	// throttleGoalShare of a latency target is what throttling aims at, and the limit for
 	// placing new colocated tasks.
 	throttleGoalShare = 0.85
-	// relaxBelowShare of a latency target has to be predicted at most for a throttled run
-	// to be released.
+	// relaxBelowShare of a latency target is the highest predicted tail latency at which a
+	// throttled run is released.
 	relaxBelowShare = 0.8
 	// minThrottleInterval is the pause between two throttle changes on an agent, until
 	// the effect of the first is visible in the tail latencies.
 	minThrottleInterval = 700 * time.Millisecond
-	// migrateBelowPercent is the CPU percentage below which a checkpointable run is
+	// evictBelowPercent is the CPU percentage below which a checkpointable run is
 	// evicted instead of throttled.
-	migrateBelowPercent = 25
+	evictBelowPercent = 25
 	// percentStep is the granularity of CPU percentages.
 	percentStep = 10
 	// defaultUseShare is the assumed CPU usage of a task that isn't standing, as a share
@@ -61,7 +61,7 @@
 		percent := int(float64(r.targetPercent)*(1-fraction)) / percentStep * percentStep
 		excess -= added * fraction
 		a.throttleChangedAt = e.now
-		if percent < migrateBelowPercent && r.task.Stage.Step.Checkpointable && e.enabled(Migrate) {
+		if percent < evictBelowPercent && r.task.Stage.Step.Checkpointable && e.enabled(Migrate) {
 			e.evictInterfering(r, standing)
 		}
 		e.setThrottle(r, percent, standing)
@@ -105,7 +105,8 @@
 	return list
 }
 
-// relaxThrottles releases one throttled run if all standing runs are expected to bear it.
+// relaxThrottles releases the first throttled run with which all standing runs are
+// predicted to stay within their targets.
 func (e *Engine) relaxThrottles(a *agent) {
 	for _, r := range a.sortedRuns {
 		t := r.task
--- a/internal/sched/drive/throttle_test.go
+++ b/internal/sched/drive/throttle_test.go
@@ -37,13 +37,13 @@
 			stage := &graph.Stage{Step: &wire.Step{TailTargetMs: target, Standing: true, Image: "standing"}}
 			task := &graph.Task{Stage: stage}
 			e := &Engine{now: time.Minute}
-			at := &agent{runs: map[*graph.Task]*run{}}
-			at.addRun(&run{
-				task: task, agent: at, phase: phaseRunning, progressPercent: 100, usage: target + 10, usageAt: e.now,
+			a := &agent{runs: map[*graph.Task]*run{}}
+			a.addRun(&run{
+				task: task, agent: a, phase: phaseRunning, progressPercent: 100, usage: target + 10, usageAt: e.now,
 				overTargetSince: e.now - c.overFor,
 			})
-			e.tailModel.Observe(&at.runs[task].baseline, tails.Reading{Target: latencyTargetOf(stage.Step), At: e.now, Milliseconds: c.baseline})
-			assert.Equal(t, e.longestOverTarget(at) != nil, c.halts)
+			e.tailModel.Observe(&a.runs[task].baseline, tails.Reading{Target: latencyTargetOf(stage.Step), At: e.now, Milliseconds: c.baseline})
+			assert.Equal(t, e.findOverTarget(a) != nil, c.halts)
 		})
 	}
 }
--- a/internal/sched/drive/unreachable.go
+++ b/internal/sched/drive/unreachable.go
@@ -17,14 +17,15 @@
 	// unreachableAfter is how long an agent has to be unreachable before its lease expiry
 	// is committed. Most agents that miss one poll answer the next.
 	unreachableAfter = time.Second
-	// unreachableScanInterval is the interval at which agents are checked for it.
+	// unreachableScanInterval is the interval at which the agents are scanned for those that
+	// became unreachable or reachable.
 	unreachableScanInterval = 50 * time.Millisecond
 )
 
 // commitUnreachable commits when the leases of unreachable agents expire. Otherwise a new
 // leader would have to wait for a whole lease after its election before it restarts their
-// runs. From the proposal on an agent's lease is not renewed until it has been committed
-// that the agent is reachable again.
+// runs. Once this is proposed for an agent, its lease is not renewed until it has been
+// committed that the agent is reachable again.
 func (e *Engine) commitUnreachable() {
 	if e.now < e.nextUnreachableScan || e.unreachablePending {
 		return
--- a/internal/sched/drive/utilization.go
+++ b/internal/sched/drive/utilization.go
@@ -11,13 +11,13 @@
 	// standingUseShare is the assumed mean CPU usage of a standing task, as a share of
 	// its request, until it is measured.
 	standingUseShare = 0.5
-	// maxUtilization limits the CPU usage of an agent up to which opportunistic tasks are
-	// placed, as a share of its capacity.
+	// maxUtilization is the CPU usage of an agent, as a share of its capacity, up to which
+	// opportunistic tasks are placed.
 	maxUtilization = 1.0
 )
 
 // expectedCPU returns the expected CPU usage of a run without throttling, in millicores;
-// busy is the utilization of a standing run.
+// utilization is the baseline of a standing run.
 func (r *run) expectedCPU(utilization float64) float64 {
 	step := r.task.Stage.Step
 	switch {
@@ -30,9 +30,9 @@
 	}
 }
 
-// peakBaselineOf returns the predicted peak of a standing run's baseline utilization. It
-// is cached until the next reading, at most for freeMaxAge, as it is too costly to
-// compute in every pass.
+// peakBaselineOf returns the predicted peak of a standing run's baseline utilization, or
+// its level without PredictVariation. It is cached until the next reading, at most for
+// freeMaxAge, as it is too costly to compute in every pass.
 func (e *Engine) peakBaselineOf(r *run) float64 {
 	if r.peakReadingAt == r.baseline.At && e.now-r.peakAt < freeMaxAge {
 		return r.peakBaseline
