--- a/internal/store/graph/apply.go
+++ b/internal/store/graph/apply.go
@@ -119,8 +119,8 @@
 	if !j.started && !j.Ended() {
 		g.pendingJobs[j.Queue]++
 	}
-	for _, stages := range j.Occurrences {
-		for _, s := range stages {
+	for _, ss := range j.Occurrences {
+		for _, s := range ss {
 			g.updateReady(s)
 		}
 	}
@@ -168,8 +168,8 @@
 		j.started = true
 	}
 	j.State, j.EndedAt = state, at
-	for _, stages := range j.Occurrences {
-		for _, s := range stages {
+	for _, ss := range j.Occurrences {
+		for _, s := range ss {
 			delete(g.readyStages, s)
 			g.notifyRunAgents(s)
 		}
@@ -189,8 +189,8 @@
 	}
 }
 
-// putAgent registers an agent or updates its record. An agent that is leaving stays so: a
-// report without it is an older one.
+// putAgent registers an agent or updates its record. A leaving agent stays marked as
+// leaving: a report that says otherwise is an older one.
 func (g *Graph) putAgent(r *wire.Agent) error {
 	if g.AgentRemoved(r.Id) {
 		return ErrUnknownAgent
--- a/internal/store/graph/check.go
+++ b/internal/store/graph/check.go
@@ -46,19 +46,19 @@
 		return fmt.Errorf("%w: a job has 1 to %d steps, not %d", ErrInvalid, maxSteps, len(s.GetSteps()))
 	}
 	var tasks uint64
-	for i, step := range s.Steps {
-		if step.Count == 0 {
+	for i, st := range s.Steps {
+		if st.Count == 0 {
 			return fmt.Errorf("%w: step %d has no tasks", ErrInvalid, i)
 		}
-		for _, dependency := range step.After {
-			if int(dependency) >= i {
-				return fmt.Errorf("%w: step %d comes after step %d, which isn't an earlier one", ErrInvalid, i, dependency)
+		for _, d := range st.After {
+			if int(d) >= i {
+				return fmt.Errorf("%w: step %d comes after step %d, which isn't an earlier one", ErrInvalid, i, d)
 			}
-			if s.Steps[dependency].Standing {
-				return fmt.Errorf("%w: step %d comes after step %d, which never ends", ErrInvalid, i, dependency)
+			if s.Steps[d].Standing {
+				return fmt.Errorf("%w: step %d comes after step %d, which never ends", ErrInvalid, i, d)
 			}
 		}
-		tasks += uint64(step.Count) * uint64(max(s.Occurrences, 1))
+		tasks += uint64(st.Count) * uint64(max(s.Occurrences, 1))
 		if tasks > maxTasks {
 			return fmt.Errorf("%w: the job has more than %d tasks", ErrInvalid, maxTasks)
 		}
--- a/internal/store/graph/compact.go
+++ b/internal/store/graph/compact.go
@@ -11,8 +11,8 @@
 	if !j.Ended() || j.mayHaveRuns() {
 		return
 	}
-	for _, stages := range j.Occurrences {
-		for _, s := range stages {
+	for _, ss := range j.Occurrences {
+		for _, s := range ss {
 			if s.summary == nil {
 				s.summary = s.summarize()
 				s.Tasks = nil
--- a/internal/store/graph/crash_test.go
+++ b/internal/store/graph/crash_test.go
@@ -39,10 +39,10 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := newTestGraph(t, &wire.Step{Count: 1, Standing: c.standing})
-			for i, outcome := range c.ends {
+			for i, o := range c.ends {
 				id := runID(0, 0, uint32(i+1))
 				assert.NilError(t, g.Apply(noon, placeCommand("a1", id)).PlacementErrors[0])
-				end := endCommand("a1", id, outcome)
+				end := endCommand("a1", id, o)
 				g.Apply(noon, end)
 				g.Apply(noon, end) // a repeated report counts once
 				loaded := New()
--- a/internal/store/graph/drain.go
+++ b/internal/store/graph/drain.go
@@ -68,17 +68,17 @@
 		}
 		return byName[name]
 	}
-	for _, agent := range g.agents {
-		status := statusOf(agent.Record.FailureDomain)
+	for _, a := range g.agents {
+		status := statusOf(a.Record.FailureDomain)
 		status.Agents++
-		status.Runs += uint32(len(agent.Tasks))
+		status.Runs += uint32(len(a.Tasks))
 	}
-	for name, since := range g.drains.since {
-		statusOf(name).DrainedSince = timestamppb.New(since)
+	for n, t := range g.drains.since {
+		statusOf(n).DrainedSince = timestamppb.New(t)
 	}
 	var list []*wire.DomainStatus
-	for _, name := range slices.Sorted(maps.Keys(byName)) {
-		list = append(list, byName[name])
+	for _, n := range slices.Sorted(maps.Keys(byName)) {
+		list = append(list, byName[n])
 	}
 	return list
 }
@@ -105,14 +105,14 @@
 func (d *drainState) save(image *wire.WorkImage) {
 	image.DrainRevision = d.revision
 	image.DrainedDomains = map[string]*timestamppb.Timestamp{}
-	for name, since := range d.since {
-		image.DrainedDomains[name] = timestamppb.New(since)
+	for n, t := range d.since {
+		image.DrainedDomains[n] = timestamppb.New(t)
 	}
 }
 
 func (d *drainState) load(image *wire.WorkImage) {
 	d.revision = image.DrainRevision
-	for name, since := range image.DrainedDomains {
-		d.since[name] = since.AsTime()
+	for n, t := range image.DrainedDomains {
+		d.since[n] = t.AsTime()
 	}
 }
--- a/internal/store/graph/drain_test.go
+++ b/internal/store/graph/drain_test.go
@@ -22,9 +22,9 @@
 func newTestGraphWithDomains(t *testing.T) *Graph {
 	t.Helper()
 	g := newTestGraph(t, &wire.Step{Count: 2})
-	for agent, domain := range map[string]string{"a1": "east", "a2": "west"} {
-		put := agentCommand(agent, false)
-		put.GetPutAgent().FailureDomain = domain
+	for id, d := range map[string]string{"a1": "east", "a2": "west"} {
+		put := agentCommand(id, false)
+		put.GetPutAgent().FailureDomain = d
 		assert.NilError(t, g.Apply(noon, put).Err)
 	}
 	return g
@@ -87,11 +87,11 @@
 }
 
 func TestDomainNames(t *testing.T) {
-	for name, ok := range map[string]bool{
+	for n, ok := range map[string]bool{
 		"hall-grandi": true, "a": true, strings.Repeat("a", 64): true,
 		"": false, strings.Repeat("a", 65): false, "a/b": false, "Hall": false, "a b": false, "..": false,
 	} {
-		assert.Equal(t, CheckDomain(name) == nil, ok, "%q", name)
+		assert.Equal(t, CheckDomain(n) == nil, ok, "%q", n)
 	}
 }
 
--- a/internal/store/graph/graph_test.go
+++ b/internal/store/graph/graph_test.go
@@ -159,9 +159,9 @@
 
 func TestAttemptsAreLimited(t *testing.T) {
 	g := newTestGraph(t, &wire.Step{Count: 1})
-	for run := uint32(1); run <= 2; run++ {
-		assert.NilError(t, g.Apply(noon, placeCommand("a1", runID(0, 0, run))).PlacementErrors[0])
-		g.Apply(noon, endCommand("a1", runID(0, 0, run), wire.RunOutcome_RUN_OUTCOME_FAILED))
+	for n := uint32(1); n <= 2; n++ {
+		assert.NilError(t, g.Apply(noon, placeCommand("a1", runID(0, 0, n))).PlacementErrors[0])
+		g.Apply(noon, endCommand("a1", runID(0, 0, n), wire.RunOutcome_RUN_OUTCOME_FAILED))
 	}
 	assertState(t, g, wire.WorkState_WORK_STATE_FAILED, 0)
 }
@@ -174,17 +174,17 @@
 	}
 	t.Run("other outcomes", func(t *testing.T) {
 		g := newTestGraph(t, &wire.Step{Count: 1})
-		for i, outcome := range lost {
+		for i, o := range lost {
 			g.Apply(noon, placeCommand("a1", runID(0, 0, uint32(i+1))))
-			g.Apply(noon, endCommand("a1", runID(0, 0, uint32(i+1)), outcome))
+			g.Apply(noon, endCommand("a1", runID(0, 0, uint32(i+1)), o))
 		}
 		assertState(t, g, wire.WorkState_WORK_STATE_RUNNING, 1)
 	})
 	t.Run("standing", func(t *testing.T) {
 		g := newTestGraph(t, &wire.Step{Count: 1, Standing: true})
-		for run := uint32(1); run <= 9; run++ {
-			g.Apply(noon, placeCommand("a1", runID(0, 0, run)))
-			g.Apply(noon, endCommand("a1", runID(0, 0, run), wire.RunOutcome_RUN_OUTCOME_FAILED))
+		for n := uint32(1); n <= 9; n++ {
+			g.Apply(noon, placeCommand("a1", runID(0, 0, n)))
+			g.Apply(noon, endCommand("a1", runID(0, 0, n), wire.RunOutcome_RUN_OUTCOME_FAILED))
 		}
 		assertState(t, g, wire.WorkState_WORK_STATE_RUNNING, 1)
 	})
@@ -309,12 +309,12 @@
 // Guards against state that Apply depends on but that is missing from snapshots: after
 // random commands with snapshots in between, both replicas have the same state.
 func TestSnapshotIsComplete(t *testing.T) {
-	for seed := range uint64(200) {
-		random := rand.New(rand.NewPCG(seed, 3))
+	for n := range uint64(200) {
+		random := rand.New(rand.NewPCG(n, 3))
 		direct, reloaded := New(), New()
-		for step := range 120 {
+		for i := range 120 {
 			c := randomCommand(random)
-			at := noon.Add(time.Duration(step) * time.Second)
+			at := noon.Add(time.Duration(i) * time.Second)
 			one := direct.Apply(at, proto.Clone(c).(*wire.WorkCommand))
 			two := reloaded.Apply(at, proto.Clone(c).(*wire.WorkCommand))
 			assert.DeepEqual(t, fmt.Sprint(one), fmt.Sprint(two))
@@ -325,9 +325,9 @@
 				assert.NilError(t, proto.Unmarshal(data, image))
 				reloaded.Load(image)
 			}
-			assert.Assert(t, proto.Equal(direct.Save(), reloaded.Save()), "seed %d, step %d", seed, step)
-			assert.Equal(t, len(direct.SortedReadyStages()), len(reloaded.SortedReadyStages()), "seed %d, step %d", seed, step)
-			assert.Equal(t, direct.PendingJobs("q"), reloaded.PendingJobs("q"), "seed %d, step %d", seed, step)
+			assert.Assert(t, proto.Equal(direct.Save(), reloaded.Save()), "seed %d, step %d", n, i)
+			assert.Equal(t, len(direct.SortedReadyStages()), len(reloaded.SortedReadyStages()), "seed %d, step %d", n, i)
+			assert.Equal(t, direct.PendingJobs("q"), reloaded.PendingJobs("q"), "seed %d, step %d", n, i)
 		}
 	}
 }
--- a/internal/store/graph/image.go
+++ b/internal/store/graph/image.go
@@ -18,8 +18,8 @@
 	for _, j := range g.Jobs() {
 		image.Jobs = append(image.Jobs, saveJob(j))
 	}
-	for _, agent := range g.agents {
-		image.Agents = append(image.Agents, agent.Record)
+	for _, a := range g.agents {
+		image.Agents = append(image.Agents, a.Record)
 	}
 	sort.Slice(image.Agents, func(i, k int) bool { return image.Agents[i].Id < image.Agents[k].Id })
 	for id, at := range g.removedAgents {
@@ -34,8 +34,8 @@
 // state.
 func (j *Job) Record() *wire.WorkJob {
 	record := saveJob(j)
-	for _, summary := range record.EndedStages {
-		record.Tasks = append(record.Tasks, tasksFromSummary(summary)...)
+	for _, s := range record.EndedStages {
+		record.Tasks = append(record.Tasks, tasksFromSummary(s)...)
 	}
 	record.EndedStages = nil
 	return record
@@ -49,8 +49,8 @@
 	if j.Ended() {
 		saved.EndedAt = timestamppb.New(j.EndedAt)
 	}
-	for _, stages := range j.Occurrences {
-		for _, s := range stages {
+	for _, ss := range j.Occurrences {
+		for _, s := range ss {
 			if s.summary != nil {
 				saved.EndedStages = append(saved.EndedStages, s.summary)
 			}
@@ -81,15 +81,15 @@
 	g.sequence = image.NextSequence
 	g.estimates = image.Learned
 	g.drains.load(image)
-	for _, record := range image.Agents {
-		g.agents[record.Id] = &Agent{Record: record, Tasks: map[*Task]bool{}}
+	for _, r := range image.Agents {
+		g.agents[r.Id] = &Agent{Record: r, Tasks: map[*Task]bool{}}
 	}
 	g.setLeaseExpiries(image.SilentAgents)
 	for id, at := range image.Dropped {
 		g.removedAgents[id] = at.AsTime()
 	}
-	for _, saved := range image.Jobs {
-		g.loadJob(saved)
+	for _, s := range image.Jobs {
+		g.loadJob(s)
 	}
 	g.notifyChange()
 }
@@ -105,20 +105,20 @@
 	}
 	j.buildStages()
 	g.jobs[j.ID] = j
-	for _, summary := range saved.EndedStages {
-		for _, task := range tasksFromSummary(summary) {
-			g.loadTask(j, task)
+	for _, s := range saved.EndedStages {
+		for _, t := range tasksFromSummary(s) {
+			g.loadTask(j, t)
 		}
 	}
-	for _, task := range saved.Tasks {
-		g.loadTask(j, task)
+	for _, t := range saved.Tasks {
+		g.loadTask(j, t)
 	}
-	for _, stages := range j.Occurrences {
-		for _, s := range stages {
+	for _, ss := range j.Occurrences {
+		for _, s := range ss {
 			if s.doneTasks == len(s.Tasks) {
 				j.openStages--
-				for _, dependent := range s.dependents {
-					dependent.openDependencies--
+				for _, d := range s.dependents {
+					d.openDependencies--
 				}
 			}
 		}
--- a/internal/store/graph/job.go
+++ b/internal/store/graph/job.go
@@ -145,8 +145,8 @@
 // Failures returns the number of the job's failed runs.
 func (j *Job) Failures() uint32 {
 	var sum uint32
-	for _, stages := range j.Occurrences {
-		for _, s := range stages {
+	for _, ss := range j.Occurrences {
+		for _, s := range ss {
 			for _, t := range s.Tasks {
 				sum += t.Failures
 			}
@@ -158,8 +158,8 @@
 // Crashes returns the highest number of crashes counted for a task of the job.
 func (j *Job) Crashes() uint32 {
 	var most uint32
-	for _, stages := range j.Occurrences {
-		for _, s := range stages {
+	for _, ss := range j.Occurrences {
+		for _, s := range ss {
 			for _, t := range s.Tasks {
 				most = max(most, t.Crashes)
 			}
@@ -177,9 +177,9 @@
 			due = j.Spec.FirstDue.AsTime().Add(time.Duration(k) * j.Spec.Period.AsDuration())
 		}
 		stages := make([]*Stage, len(j.Spec.Steps))
-		for i, step := range j.Spec.Steps {
-			s := &Stage{Job: j, Occurrence: k, Index: uint32(i), Step: step, Due: due, Unplaced: int(step.Count)}
-			s.Tasks = make([]*Task, step.Count)
+		for i, st := range j.Spec.Steps {
+			s := &Stage{Job: j, Occurrence: k, Index: uint32(i), Step: st, Due: due, Unplaced: int(st.Count)}
+			s.Tasks = make([]*Task, st.Count)
 			for n := range s.Tasks {
 				s.Tasks[n] = &Task{Stage: s, Index: uint32(n)}
 			}
@@ -196,15 +196,15 @@
 // dependents.
 func linkStages(stages []*Stage) {
 	for _, s := range stages {
-		for _, dependency := range distinct(s.Step.After) {
-			stages[dependency].dependents = append(stages[dependency].dependents, s)
+		for _, d := range distinct(s.Step.After) {
+			stages[d].dependents = append(stages[d].dependents, s)
 			s.openDependencies++
 		}
 	}
 	for i := len(stages) - 1; i >= 0; i-- {
 		s := stages[i]
-		for _, dependent := range s.dependents {
-			s.CriticalPath = max(s.CriticalPath, dependent.CriticalPath)
+		for _, d := range s.dependents {
+			s.CriticalPath = max(s.CriticalPath, d.CriticalPath)
 		}
 		s.CriticalPath += time.Duration(s.Step.EstimateMs) * time.Millisecond
 	}
--- a/internal/store/graph/lease_expiry.go
+++ b/internal/store/graph/lease_expiry.go
@@ -23,29 +23,30 @@
 	RecordedAt time.Duration
 }
 
-// Expired reports whether every lease has expired at a time of the boot clock.
-func (s *LeaseExpiry) Expired(now time.Duration) bool {
-	return s != nil && now >= s.RecordedAt+s.ExpiresIn
+// Expired reports whether every lease has expired by a time of the boot clock. It returns
+// false for a nil LeaseExpiry.
+func (e *LeaseExpiry) Expired(now time.Duration) bool {
+	return e != nil && now >= e.RecordedAt+e.ExpiresIn
 }
 
 func (g *Graph) setLeaseExpiries(list []*wire.SilentAgent) {
-	for _, entry := range list {
-		agent := g.agents[entry.Id]
+	for _, e := range list {
+		agent := g.agents[e.Id]
 		switch {
 		case agent == nil:
-		case entry.LapsesIn == nil:
+		case e.LapsesIn == nil:
 			agent.LeaseExpiry = nil
 		default:
-			agent.LeaseExpiry = &LeaseExpiry{ExpiresIn: entry.LapsesIn.AsDuration(), RecordedAt: g.BootClock()}
+			agent.LeaseExpiry = &LeaseExpiry{ExpiresIn: e.LapsesIn.AsDuration(), RecordedAt: g.BootClock()}
 		}
 	}
 }
 
 func (g *Graph) saveLeaseExpiries() []*wire.SilentAgent {
 	var list []*wire.SilentAgent
-	for id, agent := range g.agents {
-		if agent.LeaseExpiry != nil {
-			list = append(list, &wire.SilentAgent{Id: id, LapsesIn: durationpb.New(agent.LeaseExpiry.ExpiresIn)})
+	for id, a := range g.agents {
+		if a.LeaseExpiry != nil {
+			list = append(list, &wire.SilentAgent{Id: id, LapsesIn: durationpb.New(a.LeaseExpiry.ExpiresIn)})
 		}
 	}
 	slices.SortFunc(list, func(a, b *wire.SilentAgent) int { return strings.Compare(a.Id, b.Id) })
--- a/internal/store/graph/runs.go
+++ b/internal/store/graph/runs.go
@@ -12,10 +12,11 @@
 const (
 	// defaultMaxAttempts applies if a job's queue was removed or has no limit.
 	defaultMaxAttempts = 3
-	// MaxStartCrashes is the number of agents that crash as a task starts at which its job
-	// fails. Each crash ends all runs on the agent, so the limit is low. But at most one of
-	// those runs is the cause, so one crash or a coincidental second doesn't fail the job.
-	// The third start is isolated from all others, so a crash then identifies the cause.
+	// MaxStartCrashes limits the agents that crash as a task starts there: at this number
+	// the task's job fails. Each crash ends all runs on the agent, so the limit is low. But
+	// at most one of those runs is the cause, so one crash, or a second by coincidence,
+	// doesn't fail the job. The third start is isolated from all others, so a crash then
+	// identifies the cause.
 	MaxStartCrashes = 3
 	// MaxCrashes is the limit for all crashes soon after a task was placed. It is higher
 	// since a task that runs for a while first can't be distinguished from the other runs
@@ -25,8 +26,8 @@
 
 func (g *Graph) placeRuns(p *wire.PlaceRuns) Result {
 	res := Result{PlacementErrors: make([]error, len(p.Placements))}
-	for i, placement := range p.Placements {
-		res.PlacementErrors[i] = g.placeRun(placement)
+	for i, r := range p.Placements {
+		res.PlacementErrors[i] = g.placeRun(r)
 	}
 	return res
 }
@@ -111,13 +112,13 @@
 	if !t.Stage.Step.Gang {
 		return
 	}
-	for _, member := range t.Stage.Tasks {
-		member.Checkpoint = checkpoint
+	for _, m := range t.Stage.Tasks {
+		m.Checkpoint = checkpoint
 	}
 }
 
 // completeTask completes a task, or all tasks of its gang, since the members end together.
-// The runs of the other members keep their resources until their own ends are reported.
+// The runs of the other members keep their resources until their own ends are recorded.
 func (g *Graph) completeTask(at time.Time, t *Task) {
 	finished := []*Task{t}
 	if t.Stage.Step.Gang {
@@ -144,9 +145,9 @@
 	g.updateReady(s)
 	j := s.Job
 	j.openStages--
-	for _, dependent := range s.dependents {
-		dependent.openDependencies--
-		g.updateReady(dependent)
+	for _, d := range s.dependents {
+		d.openDependencies--
+		g.updateReady(d)
 	}
 	if j.openStages == 0 {
 		g.finishJob(at, j, wire.WorkState_WORK_STATE_COMPLETED)
