--- a/internal/store/quorum/core.go
+++ b/internal/store/quorum/core.go
@@ -68,13 +68,13 @@
 
 	// progress is the leader's view of another replica.
 	progress struct {
-		match, next  uint64
-		ackedRound   uint64
-		recentActive bool
-		// ticksSinceResponse counts the ticks since the replica last responded.
+		match, next        uint64
+		ackedRound         uint64
+		recentActive       bool
 		ticksSinceResponse int
-		// probing is set by a rejection until the replica accepts an empty append, which
-		// shows where its log matches the leader's.
+		// probing is set by a rejection, or with a snapshot, until the replica accepts a
+		// message, which shows where its log matches the leader's. Until then it is sent
+		// no entries.
 		probing bool
 		// inflights are the batches sent and not yet acknowledged, inflightBytes their
 		// total size.
@@ -191,9 +191,9 @@
 // NextAppends returns the leader's pending append messages. Unlike Ready it may be called
 // while an earlier Ready is being synced, because they don't depend on this replica's disk.
 func (c *Core) NextAppends() []*wire.PeerMessage {
-	early := c.appends
+	appends := c.appends
 	c.appends = nil
-	return early
+	return appends
 }
 
 // NextCommittedEntries returns the entries to apply: those that are committed, are on this
@@ -209,7 +209,7 @@
 	return committed
 }
 
-// Synced reports that the Ready is on disk. A leader counts its own copy of an entry
+// Synced records that the Ready is on disk. A leader counts its own copy of an entry
 // towards the majority only after this call.
 func (c *Core) Synced(rd Ready) {
 	if len(rd.Entries) == 0 {
--- a/internal/store/quorum/election.go
+++ b/internal/store/quorum/election.go
@@ -6,8 +6,8 @@
 	"sycamoredeck.example/internal/schema/wire"
 )
 
-// campaignRetryDivisor sets the minimum time between two campaigns of a replica to this
-// fraction of the election timeout.
+// campaignRetryDivisor divides the election timeout to give the minimum time between two
+// campaigns of a replica.
 const campaignRetryDivisor = 4
 
 // Tick advances the logical clock by one tick.
@@ -188,10 +188,11 @@
 	}
 }
 
-// TransferLeadership asks the most up-to-date active voter to start an election at once, so
-// that a planned stop of the leader doesn't cost an election timeout. From this call on the
-// leader must grant no leases, because the transferee may be elected at any moment. It
-// returns false if there is no candidate.
+// TransferLeadership asks the most up-to-date of the voters that are active or have all
+// entries to start an election at once, so that a planned stop of the leader doesn't cost an
+// election timeout. From this call on the leader must grant no leases, because the transferee
+// may be elected at any moment. It returns false if this replica isn't the leader or there is
+// no such voter.
 func (c *Core) TransferLeadership() bool {
 	if c.role != Leader {
 		return false
--- a/internal/store/quorum/linearizability_test.go
+++ b/internal/store/quorum/linearizability_test.go
@@ -101,8 +101,8 @@
 // taken effect.
 func (s *sim) linearizable() bool {
 	for _, id := range sortedKeys(s.replicas) {
-		for _, index := range sortedKeys(s.replicas[id].waiters) {
-			s.replicas[id].waiters[index].done(nil)
+		for _, i := range sortedKeys(s.replicas[id].waiters) {
+			s.replicas[id].waiters[i].done(nil)
 		}
 	}
 	result := porcupine.CheckOperationsTimeout(registerModel.ToModel(), s.operations, 30*time.Second)
--- a/internal/store/quorum/membership.go
+++ b/internal/store/quorum/membership.go
@@ -64,8 +64,8 @@
 // its disk is lost. A single change keeps the number of voters, and so the number of
 // tolerated failures, constant.
 //
-// Majorities before and after the change would not need to overlap if the old replica still
-// voted. Since it doesn't, any two have another replica in common.
+// If the old replica still voted, a majority before the change and one after it might have no
+// replica in common. Since it doesn't, any two of them have one of the others in common.
 func (c *Core) Replace(old, learner uint64) error {
 	return c.proposeMembership(func(next *wire.Membership) error {
 		if err := c.CaughtUp(learner); err != nil {
@@ -226,9 +226,9 @@
 }
 
 func findMember(m *wire.Membership, id uint64) *wire.ControlMember {
-	for _, member := range m.GetMembers() {
-		if member.ReplicaId == id {
-			return member
+	for _, cm := range m.GetMembers() {
+		if cm.ReplicaId == id {
+			return cm
 		}
 	}
 	return nil
--- a/internal/store/quorum/quorum_test.go
+++ b/internal/store/quorum/quorum_test.go
@@ -35,9 +35,8 @@
 	assert.Assert(t, s.linearizable(), "seed %d: the history isn't linearizable", seed)
 }
 
-// Guards against lost or conflicting committed entries and stale reads under crashes,
-// message loss, reordering and duplication, one-way partitions, leadership transfers and
-// membership changes.
+// Guards against lost or conflicting committed entries and stale reads under crashes, network
+// and disk faults, leadership transfers and membership changes.
 func TestClusterUnderFaults(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -57,10 +56,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			operations, wiped := 0, 0
-			for seed := range uint64(seedsPerCase) {
-				s := newSim(seed, c.size, c.faults)
+			for n := range uint64(seedsPerCase) {
+				s := newSim(n, c.size, c.faults)
 				s.run(stepsPerSeed)
-				assertConsistent(t, seed, s)
+				assertConsistent(t, n, s)
 				operations += len(s.operations)
 				wiped += s.wipedDisks
 			}
@@ -74,8 +73,8 @@
 // entries.
 func TestSimulationDetectsLostEntries(t *testing.T) {
 	found := 0
-	for seed := range uint64(40) {
-		s := newSim(seed, 3, simFaults{crash: 0.01, restart: 0.05})
+	for n := range uint64(40) {
+		s := newSim(n, 3, simFaults{crash: 0.01, restart: 0.05})
 		s.losesSynced = true
 		s.run(stepsPerSeed)
 		if len(s.violations) > 0 || !s.linearizable() {
@@ -88,11 +87,11 @@
 // Guards against a cluster that stays without a leader, or whose replicas stay behind,
 // after faults have ended.
 func TestClusterConvergesAfterFaults(t *testing.T) {
-	for seed := range uint64(60) {
-		s := newSim(seed, 3, simFaults{crash: 0.004, restart: 0.05, cut: 0.02, heal: 0.01, drop: 0.05, snapshot: 0.02})
+	for n := range uint64(60) {
+		s := newSim(n, 3, simFaults{crash: 0.004, restart: 0.05, cut: 0.02, heal: 0.01, drop: 0.05, snapshot: 0.02})
 		s.run(stepsPerSeed)
 		s.stabilize()
-		assertConsistent(t, seed, s)
+		assertConsistent(t, n, s)
 		var applied, leaders uint64
 		for _, r := range s.replicas {
 			applied = max(applied, r.appliedIndex)
@@ -100,9 +99,9 @@
 				leaders++
 			}
 		}
-		assert.Equal(t, leaders, uint64(1), "seed %d", seed)
+		assert.Equal(t, leaders, uint64(1), "seed %d", n)
 		for id, r := range s.replicas {
-			assert.Assert(t, r.appliedIndex+5 >= applied, "seed %d: replica %d applied %d of %d", seed, id, r.appliedIndex, applied)
+			assert.Assert(t, r.appliedIndex+5 >= applied, "seed %d: replica %d applied %d of %d", n, id, r.appliedIndex, applied)
 		}
 	}
 }
@@ -159,9 +158,8 @@
 	assert.Assert(t, leader.core.Status().Role != quorum.Leader)
 }
 
-// Guards against a replica that lost its disk voting again under its old identity, which
-// could elect a leader without a committed entry. A new disk has a new identity; messages
-// to the old one or from a non-member don't count.
+// Guards against a vote under the identity of a lost disk, which could elect a leader without
+// a committed entry: messages to the old identity or from a non-member don't count.
 func TestReplicaWithNewIdentityHasNoVote(t *testing.T) {
 	s := newTestCluster(t)
 	leader := leaderOf(t, s)
@@ -204,10 +202,10 @@
 	for range 10 {
 		c.Tick()
 	}
-	for _, kind := range []wire.PeerMessageKind{
+	for _, k := range []wire.PeerMessageKind{
 		wire.PeerMessageKind_PEER_MESSAGE_KIND_PRE_VOTE_ANSWER, wire.PeerMessageKind_PEER_MESSAGE_KIND_VOTE_ANSWER,
 	} {
-		c.Step(&wire.PeerMessage{Kind: kind, From: 2, To: 1, Term: 2, ClusterId: 9})
+		c.Step(&wire.PeerMessage{Kind: k, From: 2, To: 1, Term: 2, ClusterId: 9})
 	}
 	assert.Equal(t, c.Status().Role, quorum.Leader)
 	return c
@@ -290,9 +288,9 @@
 	}
 	resent := 0
 	for i := range uint64(lost - 1) {
-		refusal := appendAck(2, c, 1)
-		refusal.Reject, refusal.AskedIndex = true, i+2
-		c.Step(refusal)
+		rejection := appendAck(2, c, 1)
+		rejection.Reject, rejection.AskedIndex = true, i+2
+		c.Step(rejection)
 		resent += entryBytes(c.Ready().Appends, 2)
 	}
 	accepted := appendAck(2, c, 1)
--- a/internal/store/quorum/replication.go
+++ b/internal/store/quorum/replication.go
@@ -34,7 +34,8 @@
 	c.handleMessage(m)
 }
 
-// ignoresVoteRequest protects an active leader: see leaderActive.
+// ignoresVoteRequest reports whether the message is a vote request that must be ignored
+// because a leader is active: see leaderActive.
 func (c *Core) ignoresVoteRequest(m *wire.PeerMessage) bool {
 	switch m.Kind {
 	case wire.PeerMessageKind_PEER_MESSAGE_KIND_PRE_VOTE, wire.PeerMessageKind_PEER_MESSAGE_KIND_VOTE:
@@ -44,8 +45,8 @@
 	}
 }
 
-// advancesTerm reports whether the message's term has been started by some replica. The
-// term of a pre-vote, or of a granted pre-vote response, is only prospective.
+// advancesTerm reports whether some replica is in the message's term already. The term of a
+// pre-vote, or of a granted pre-vote response, is only prospective.
 func advancesTerm(m *wire.PeerMessage) bool {
 	switch m.Kind {
 	case wire.PeerMessageKind_PEER_MESSAGE_KIND_PRE_VOTE:
@@ -167,8 +168,8 @@
 		return 0, false
 	}
 	first := c.LastIndex() + 1
-	for _, command := range commands {
-		c.appendEntry(&wire.LogRecord{Command: command})
+	for _, cm := range commands {
+		c.appendEntry(&wire.LogRecord{Command: cm})
 	}
 	c.broadcastAppend(false)
 	return first, true
@@ -203,7 +204,7 @@
 }
 
 // sendAppend sends the entries that the replica is missing. With sendEmpty it sends a
-// message even if there are none.
+// message even if there are none, and a snapshot if they were compacted.
 func (c *Core) sendAppend(to uint64, sendEmpty bool) {
 	p := c.peers[to]
 	if p == nil {
--- a/internal/store/quorum/sim_test.go
+++ b/internal/store/quorum/sim_test.go
@@ -204,15 +204,15 @@
 	}
 }
 
-// wipe loses a replica and its disk, unless some replica, up or down, still counts an
-// earlier lost one as a voter.
+// wipe loses a replica and its disk, unless some replica still counts an earlier lost one as
+// a voter, or is down and might.
 func (s *sim) wipe() {
 	r := s.randomReplica()
 	if r == nil || len(s.down) > 0 {
 		return
 	}
-	for _, other := range s.replicas {
-		if _, lost := s.permanentlyLost(other.core.Members().GetMembers()); lost {
+	for _, o := range s.replicas {
+		if _, lost := s.permanentlyLost(o.core.Members().GetMembers()); lost {
 			return
 		}
 	}
@@ -222,11 +222,11 @@
 }
 
 func (s *sim) crash(r *simReplica) {
-	for _, index := range sortedKeys(r.waiters) {
-		r.waiters[index].done(nil)
+	for _, i := range sortedKeys(r.waiters) {
+		r.waiters[i].done(nil)
 	}
-	for _, read := range r.reads {
-		read.done(0, false)
+	for _, rd := range r.reads {
+		rd.done(0, false)
 	}
 	if s.losesSynced && len(r.disk.entries) > 0 {
 		r.disk.entries = r.disk.entries[:len(r.disk.entries)/2]
@@ -310,8 +310,8 @@
 }
 
 func (s *sim) applyAll(r *simReplica, entries []*wire.LogRecord) {
-	for _, entry := range entries {
-		s.apply(r, entry)
+	for _, e := range entries {
+		s.apply(r, e)
 	}
 }
 
@@ -349,10 +349,10 @@
 
 func (s *sim) apply(r *simReplica, entry *wire.LogRecord) {
 	s.check(entry.Index == r.appliedIndex+1, "replica %d applied entry %d after %d", r.id, entry.Index, r.appliedIndex)
-	if known := s.committed[entry.Index]; known == nil {
+	if existing := s.committed[entry.Index]; existing == nil {
 		s.committed[entry.Index] = entry
 	} else {
-		s.check(proto.Equal(known, entry), "two different entries committed at index %d", entry.Index)
+		s.check(proto.Equal(existing, entry), "two different entries committed at index %d", entry.Index)
 	}
 	var result state.Result
 	if entry.Command != nil {
@@ -378,14 +378,14 @@
 		s.leaders[status.Term] = r.id
 	}
 	kept := r.reads[:0]
-	for _, read := range r.reads {
+	for _, rd := range r.reads {
 		switch {
 		case status.Role != quorum.Leader:
-			read.done(0, false)
-		case status.ConfirmedRound >= read.round && r.appliedIndex >= read.index:
-			read.done(r.machine.Configuration().Version, true)
+			rd.done(0, false)
+		case status.ConfirmedRound >= rd.round && r.appliedIndex >= rd.index:
+			rd.done(r.machine.Configuration().Version, true)
 		default:
-			kept = append(kept, read)
+			kept = append(kept, rd)
 		}
 	}
 	r.reads = kept
