--- a/internal/store/node/iteration.go
+++ b/internal/store/node/iteration.go
@@ -12,7 +12,8 @@
 	"sycamoredeck.example/internal/store/state"
 )
 
-// maxReadyPerIteration limits how often one iteration handles what its own work made ready.
+// maxReadyPerIteration limits the calls of processReady in one iteration, since its work may
+// make more ready.
 const maxReadyPerIteration = 4
 
 func (n *Node) runIteration() {
@@ -174,15 +175,15 @@
 	for _, m := range messages {
 		byTarget[m.To] = append(byTarget[m.To], m)
 	}
-	for _, member := range n.core.Members().GetMembers() {
-		if batch := byTarget[member.ReplicaId]; len(batch) > 0 {
-			n.options.Send(member, batch)
-			delete(byTarget, member.ReplicaId)
+	for _, m := range n.core.Members().GetMembers() {
+		if batch := byTarget[m.ReplicaId]; len(batch) > 0 {
+			n.options.Send(m, batch)
+			delete(byTarget, m.ReplicaId)
 		}
 	}
-	for id, batch := range byTarget {
+	for id, b := range byTarget {
 		if member := n.options.Lookup(id); member != nil {
-			n.options.Send(member, batch)
+			n.options.Send(member, b)
 		}
 	}
 }
@@ -224,14 +225,14 @@
 	n.newReads = nil
 	status := n.core.Status()
 	if n.role != quorum.Leader || n.appliedTerm != status.Term {
-		for _, done := range fresh {
-			done(ErrNotLeader)
+		for _, f := range fresh {
+			f(ErrNotLeader)
 		}
 		return
 	}
 	round := n.core.Heartbeat()
-	for _, done := range fresh {
-		n.reads = append(n.reads, pendingRead{round, status.Commit, done})
+	for _, f := range fresh {
+		n.reads = append(n.reads, pendingRead{round, status.Commit, f})
 	}
 }
 
--- a/internal/store/node/lease_test.go
+++ b/internal/store/node/lease_test.go
@@ -44,30 +44,30 @@
 	durable.Snapshot = &wire.Snapshot{Membership: &wire.Membership{ClusterId: 9, Members: []*wire.ControlMember{
 		{ReplicaId: 1, Voter: true}, {ReplicaId: 2, Voter: true}, {ReplicaId: 3, Voter: true},
 	}}}
-	r := &testCluster{clock: clockwork.NewFakeClock()}
-	r.responding.Store(true)
-	r.node, err = node.New(node.Options{
+	c := &testCluster{clock: clockwork.NewFakeClock()}
+	c.responding.Store(true)
+	c.node, err = node.New(node.Options{
 		ID: 1, HeartbeatInterval: heartbeat, ElectionTimeout: electionTimeout, SnapshotThreshold: 20000,
-		Clock: r.clock, BootTime: func() time.Duration { return time.Duration(r.bootTime.Load()) },
+		Clock: c.clock, BootTime: func() time.Duration { return time.Duration(c.bootTime.Load()) },
 		Logger:         slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Send:           r.respond,
+		Send:           c.respond,
 		Lookup:         func(uint64) *wire.ControlMember { return nil },
-		AfterIteration: func(time.Time) { r.iterations.Add(1) },
+		AfterIteration: func(time.Time) { c.iterations.Add(1) },
 		OnDiskFailure:  func(err error) { t.Error(err) },
 	}, log, durable, state.New(state.Options{}))
 	assert.NilError(t, err)
-	go r.node.Run()
+	go c.node.Run()
 	t.Cleanup(func() {
-		r.node.Stop()
+		c.node.Stop()
 		assert.NilError(t, log.Close())
 	})
-	return r
+	return c
 }
 
 // respond plays a replica that has every entry and accepts every message.
-func (r *testCluster) respond(to *wire.ControlMember, messages []*wire.PeerMessage) {
-	r.sent.Add(int64(len(messages)))
-	if !r.responding.Load() {
+func (c *testCluster) respond(to *wire.ControlMember, messages []*wire.PeerMessage) {
+	c.sent.Add(int64(len(messages)))
+	if !c.responding.Load() {
 		return
 	}
 	kinds := map[wire.PeerMessageKind]wire.PeerMessageKind{
@@ -75,30 +75,30 @@
 		wire.PeerMessageKind_PEER_MESSAGE_KIND_VOTE:     wire.PeerMessageKind_PEER_MESSAGE_KIND_VOTE_ANSWER,
 		wire.PeerMessageKind_PEER_MESSAGE_KIND_APPEND:   wire.PeerMessageKind_PEER_MESSAGE_KIND_APPEND_ANSWER,
 	}
-	var answers []*wire.PeerMessage
+	var responses []*wire.PeerMessage
 	for _, m := range messages {
-		answers = append(answers, &wire.PeerMessage{
+		responses = append(responses, &wire.PeerMessage{
 			Kind: kinds[m.Kind], From: to.ReplicaId, To: m.From, ClusterId: m.ClusterId, Term: m.Term,
 			Index: m.Index + uint64(len(m.Records)), Round: m.Round,
 		})
 	}
-	r.node.Step(answers)
+	c.node.Step(responses)
 }
 
 // waitForLease waits until the replica holds the leader lease and returns its term.
-func (r *testCluster) waitForLease(t *testing.T) uint64 {
+func (c *testCluster) waitForLease(t *testing.T) uint64 {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); {
 		term := uint64(0)
-		assert.NilError(t, r.node.Do(context.Background(), func() {
-			if _, leads := r.node.IsLeader(); leads {
-				term = r.node.Core().Status().Term
+		assert.NilError(t, c.node.Do(context.Background(), func() {
+			if _, ok := c.node.IsLeader(); ok {
+				term = c.node.Core().Status().Term
 			}
 		}))
-		if term != 0 && r.node.HoldsLeaderLease(term) {
+		if term != 0 && c.node.HoldsLeaderLease(term) {
 			return term
 		}
-		r.advance(heartbeat / 2)
+		c.advance(heartbeat / 2)
 	}
 	t.Fatal("replica did not become leader")
 	return 0
@@ -106,50 +106,50 @@
 
 // waitIdle waits until all messages sent so far have been handled, including the end of the
 // iteration that took them from the inbox.
-func (r *testCluster) waitIdle(t *testing.T) {
+func (c *testCluster) waitIdle(t *testing.T) {
 	t.Helper()
-	for end := r.iterations.Load() + 2; r.iterations.Load() < end; {
-		assert.NilError(t, r.node.Do(context.Background(), func() {}))
+	for end := c.iterations.Load() + 2; c.iterations.Load() < end; {
+		assert.NilError(t, c.node.Do(context.Background(), func() {}))
 	}
 }
 
-func (r *testCluster) advance(d time.Duration) {
-	r.bootTime.Add(int64(d))
-	r.clock.Advance(d)
+func (c *testCluster) advance(d time.Duration) {
+	c.bootTime.Add(int64(d))
+	c.clock.Advance(d)
 }
 
 // Guards against a leader that renews its lease on waking from suspension without
 // contacting other replicas, and so acts concurrently with the next leader.
 func TestSuspendedLeaderHoldsNoLease(t *testing.T) {
-	r := startCluster(t, walog.Options{})
-	term := r.waitForLease(t)
-	r.responding.Store(false)
-	r.waitIdle(t)
-	r.bootTime.Add(int64(7 * time.Second)) // timers don't advance during suspension
+	c := startCluster(t, walog.Options{})
+	term := c.waitForLease(t)
+	c.responding.Store(false)
+	c.waitIdle(t)
+	c.bootTime.Add(int64(7 * time.Second)) // timers don't advance during suspension
 	for range 3 {
-		r.waitIdle(t)
+		c.waitIdle(t)
 		var confirmed time.Duration
-		assert.NilError(t, r.node.Do(context.Background(), func() {
-			confirmed = r.clock.Since(r.node.LeadershipConfirmedAt())
+		assert.NilError(t, c.node.Do(context.Background(), func() {
+			confirmed = c.clock.Since(c.node.LeadershipConfirmedAt())
 		}))
-		assert.Assert(t, !r.node.HoldsLeaderLease(term), "leader lease was renewed, confirmed %v ago", confirmed)
+		assert.Assert(t, !c.node.HoldsLeaderLease(term), "leader lease was renewed, confirmed %v ago", confirmed)
 	}
 }
 
 // Guards against LeadershipConfirmedAt advancing in iterations in which no replica
 // responded.
 func TestConfirmedAtDoesNotAdvanceWithoutResponses(t *testing.T) {
-	r := startCluster(t, walog.Options{})
-	r.waitForLease(t)
-	r.responding.Store(false)
-	r.waitIdle(t)
+	c := startCluster(t, walog.Options{})
+	c.waitForLease(t)
+	c.responding.Store(false)
+	c.waitIdle(t)
 	before := time.Time{}
-	assert.NilError(t, r.node.Do(context.Background(), func() { before = r.node.LeadershipConfirmedAt() }))
-	r.clock.Advance(heartbeat / 4) // less than a tick
+	assert.NilError(t, c.node.Do(context.Background(), func() { before = c.node.LeadershipConfirmedAt() }))
+	c.clock.Advance(heartbeat / 4) // less than a tick
 	for range 3 {
-		r.waitIdle(t)
+		c.waitIdle(t)
 		after := time.Time{}
-		assert.NilError(t, r.node.Do(context.Background(), func() { after = r.node.LeadershipConfirmedAt() }))
+		assert.NilError(t, c.node.Do(context.Background(), func() { after = c.node.LeadershipConfirmedAt() }))
 		assert.Assert(t, after.Equal(before), "confirmed %v later without a response", after.Sub(before))
 	}
 }
@@ -164,30 +164,30 @@
 		close(release)
 	})
 	defer unblock() // Stop waits for the write
-	r := startCluster(t, walog.Options{Sync: func(f *os.File) error {
+	c := startCluster(t, walog.Options{Sync: func(f *os.File) error {
 		if hangs.Load() {
 			begun <- struct{}{}
 			<-release
 		}
 		return f.Sync()
 	}})
-	r.waitForLease(t)
-	r.waitIdle(t)
+	c.waitForLease(t)
+	c.waitIdle(t)
 	hangs.Store(true)
-	r.node.Post(func() { r.node.Propose(openDispatchCommand(0), func(state.Result, error) {}) })
+	c.node.Post(func() { c.node.Propose(openDispatchCommand(0), func(state.Result, error) {}) })
 	<-begun
-	r.advance(heartbeat)
-	r.waitIdle(t)
-	before := r.sent.Load()
+	c.advance(heartbeat)
+	c.waitIdle(t)
+	before := c.sent.Load()
 	for range 10 {
-		r.advance(heartbeat / 2)
-		r.waitIdle(t)
+		c.advance(heartbeat / 2)
+		c.waitIdle(t)
 	}
-	assert.Equal(t, r.sent.Load(), before, "messages were sent while the disk hung")
+	assert.Equal(t, c.sent.Load(), before, "messages were sent while the disk hung")
 	unblock()
-	for end := time.Now().Add(time.Minute); r.sent.Load() == before; {
+	for end := time.Now().Add(time.Minute); c.sent.Load() == before; {
 		assert.Assert(t, time.Now().Before(end), "nothing was sent after the disk recovered")
-		r.advance(heartbeat)
-		r.waitIdle(t)
+		c.advance(heartbeat)
+		c.waitIdle(t)
 	}
 }
--- a/internal/store/node/node.go
+++ b/internal/store/node/node.go
@@ -32,9 +32,9 @@
 
 const (
 	inboxCapacity = 8192
-	// maxTasksPerIteration limits the functions run from the inbox in one loop iteration so
+	// maxInboxPerIteration limits the functions run from the inbox in one loop iteration so
 	// that ticks aren't delayed.
-	maxTasksPerIteration = 4096
+	maxInboxPerIteration = 4096
 	ticksPerHeartbeat    = 2
 	// leaderLeasePercent is the length of the leader lease as a percentage of the election
 	// timeout. The rest allows for clock drift between replicas and for the time between
@@ -217,7 +217,7 @@
 }
 
 func (n *Node) drainInbox() {
-	for range maxTasksPerIteration {
+	for range maxInboxPerIteration {
 		select {
 		case f := <-n.inbox:
 			f()
@@ -269,17 +269,17 @@
 // Commit proposes a command and waits until it is applied. It must not be called on the
 // event loop.
 func (n *Node) Commit(ctx context.Context, command *wire.Command) (state.Result, error) {
-	type answer struct {
+	type outcome struct {
 		result state.Result
 		err    error
 	}
-	answers := make(chan answer, 1)
-	if !n.Post(func() { n.Propose(command, func(r state.Result, err error) { answers <- answer{r, err} }) }) {
+	outcomes := make(chan outcome, 1)
+	if !n.Post(func() { n.Propose(command, func(r state.Result, err error) { outcomes <- outcome{r, err} }) }) {
 		return state.Result{}, ErrStopped
 	}
 	select {
-	case a := <-answers:
-		return a.result, a.err
+	case o := <-outcomes:
+		return o.result, o.err
 	case <-n.done:
 		return state.Result{}, ErrUncertain
 	case <-ctx.Done():
@@ -290,20 +290,20 @@
 // Read runs f on the event loop as a linearizable read: after a quorum has confirmed this
 // replica's leadership and everything committed before the call has been applied.
 func (n *Node) Read(ctx context.Context, f func()) error {
-	answers := make(chan error, 1)
+	errs := make(chan error, 1)
 	enqueue := func() {
 		n.newReads = append(n.newReads, func(err error) {
 			if err == nil {
 				f()
 			}
-			answers <- err
+			errs <- err
 		})
 	}
 	if !n.Post(enqueue) {
 		return ErrStopped
 	}
 	select {
-	case err := <-answers:
+	case err := <-errs:
 		return err
 	case <-n.done:
 		return ErrStopped
@@ -360,7 +360,7 @@
 // suspended for seconds would still consider its lease valid on waking, and would send
 // orders concurrently with the next leader.
 func (n *Node) HoldsLeaderLease(term uint64) bool {
-	r := n.leaderLease.Load()
+	l := n.leaderLease.Load()
 	limit := n.options.ElectionTimeout * leaderLeasePercent / 100
-	return r != nil && r.term == term && n.options.BootTime()-r.confirmedAt < limit
+	return l != nil && l.term == term && n.options.BootTime()-l.confirmedAt < limit
 }
--- a/internal/store/node/node_test.go
+++ b/internal/store/node/node_test.go
@@ -60,9 +60,9 @@
 func (r *testReplica) waitForLeader(t testing.TB) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		leads := false
-		assert.NilError(t, r.node.Do(context.Background(), func() { _, leads = r.node.IsLeader() }))
-		if leads {
+		ok := false
+		assert.NilError(t, r.node.Do(context.Background(), func() { _, ok = r.node.IsLeader() }))
+		if ok {
 			return
 		}
 	}
@@ -97,7 +97,7 @@
 		assert.NilError(t, r.node.Do(context.Background(), func() {}))
 		time.Sleep(10 * time.Millisecond)
 	}
-	assert.Equal(t, len(done), 0, "a refused write was acknowledged")
+	assert.Equal(t, len(done), 0, "a failed write was acknowledged")
 	full.Store(false)
 	assert.NilError(t, <-done)
 	assert.Assert(t, r.hasDispatch(t, 10))
@@ -133,11 +133,11 @@
 
 func (r *testReplica) hasDispatch(t testing.TB, i int) bool {
 	t.Helper()
-	held := false
+	found := false
 	assert.NilError(t, r.node.Read(context.Background(), func() {
-		held = r.node.Machine().Dispatch("account", fmt.Sprintf("request-%08d", i)) != nil
+		found = r.node.Machine().Dispatch("account", fmt.Sprintf("request-%08d", i)) != nil
 	}))
-	return held
+	return found
 }
 
 // Guards against the loss of acknowledged changes after a restart, also across snapshots.
@@ -159,12 +159,12 @@
 func TestDiskFailureStopsReplica(t *testing.T) {
 	var mu sync.Mutex
 	broken := false
-	disk := errors.New("input/output error")
+	diskErr := errors.New("input/output error")
 	r := start(t, t.TempDir(), walog.Options{Sync: func(f *os.File) error {
 		mu.Lock()
 		defer mu.Unlock()
 		if broken {
-			return disk
+			return diskErr
 		}
 		return f.Sync()
 	}})
@@ -174,7 +174,7 @@
 	mu.Unlock()
 	_, err := r.node.Commit(context.Background(), openDispatchCommand(10))
 	assert.ErrorIs(t, err, node.ErrUncertain)
-	assert.ErrorIs(t, <-r.failed, disk)
+	assert.ErrorIs(t, <-r.failed, diskErr)
 	mu.Lock()
 	broken = false
 	mu.Unlock()
@@ -209,9 +209,9 @@
 	<-begun
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	held := true
-	assert.NilError(t, r.node.Do(ctx, func() { held = r.node.Machine().Dispatch("account", "request-00000000") != nil }))
-	assert.Assert(t, !held, "a change was applied before it was on disk")
+	applied := true
+	assert.NilError(t, r.node.Do(ctx, func() { applied = r.node.Machine().Dispatch("account", "request-00000000") != nil }))
+	assert.Assert(t, !applied, "a change was applied before it was on disk")
 	select {
 	case <-committed:
 		t.Fatal("a change was acknowledged before it was on disk")
@@ -238,11 +238,11 @@
 // BenchmarkRestart measures the time from opening the folder to leading again, and the size
 // of the folder, after a number of changes.
 func BenchmarkRestart(b *testing.B) {
-	for _, changes := range []int{1000, 100_000} {
-		b.Run(fmt.Sprintf("changes=%d", changes), func(b *testing.B) {
+	for _, n := range []int{1000, 100_000} {
+		b.Run(fmt.Sprintf("changes=%d", n), func(b *testing.B) {
 			folder := b.TempDir()
 			r := start(b, folder, walog.Options{})
-			r.commit(b, 0, changes)
+			r.commit(b, 0, n)
 			r.stop(b)
 			for b.Loop() {
 				r = start(b, folder, walog.Options{})
