--- a/internal/store/state/apply.go
+++ b/internal/store/state/apply.go
@@ -81,11 +81,11 @@
 func (m *Machine) submitJob(c *wire.Command, s *wire.SubmitJob) Result {
 	key := accountKey(s.Spec.ClientAccount, s.IdempotencyKey)
 	if id, ok := m.jobIDByKey[key]; ok {
-		known := m.jobs[id]
-		if !sameSubmission(known.Spec, s.Spec) {
+		existing := m.jobs[id]
+		if !sameSubmission(existing.Spec, s.Spec) {
 			return Result{Err: ErrKeyReused}
 		}
-		return Result{Job: known, Duplicate: true}
+		return Result{Job: existing, Duplicate: true}
 	}
 	kind := m.Kind(s.Spec.ClientAccount, s.Spec.JobKind)
 	if kind == nil {
@@ -111,12 +111,12 @@
 
 // sameSubmission compares two submissions as sent by the caller. Resources that the caller
 // omitted were filled in from the job kind at the time.
-func sameSubmission(known, sent *wire.JobSpec) bool {
+func sameSubmission(existing, sent *wire.JobSpec) bool {
 	if sent.Resources == nil {
-		known = proto.Clone(known).(*wire.JobSpec)
-		known.Resources = nil
+		existing = proto.Clone(existing).(*wire.JobSpec)
+		existing.Resources = nil
 	}
-	return proto.Equal(known, sent)
+	return proto.Equal(existing, sent)
 }
 
 // checkSchedulable rejects jobs that exceed the quota or the capacity of every worker.
@@ -160,25 +160,25 @@
 }
 
 func (m *Machine) registerWorker(w *wire.Worker) Result {
-	known := m.workers[w.WorkerId]
-	if known == nil {
+	existing := m.workers[w.WorkerId]
+	if existing == nil {
 		m.addWorker(w)
 		return Result{}
 	}
-	if known.Record.Incarnation != w.Incarnation && len(known.Tasks) > 0 {
+	if existing.Record.Incarnation != w.Incarnation && len(existing.Tasks) > 0 {
 		return Result{Err: ErrWorkerBusy}
 	}
-	if !known.Committed.FitsIn(ResourcesOf(w.Capacity)) {
+	if !existing.Committed.FitsIn(ResourcesOf(w.Capacity)) {
 		return Result{Err: ErrInsufficientCapacity}
 	}
-	known.Record = w
+	existing.Record = w
 	return Result{}
 }
 
 func (m *Machine) placeTasks(c *wire.Command, p *wire.PlaceTasks) Result {
 	var res Result
-	for _, placement := range p.Placements {
-		res.PlacementErrors = append(res.PlacementErrors, m.place(c, placement))
+	for _, pl := range p.Placements {
+		res.PlacementErrors = append(res.PlacementErrors, m.place(c, pl))
 	}
 	return res
 }
@@ -385,9 +385,9 @@
 // sweep removes dispatch records and ended jobs that are past their retention.
 func (m *Machine) sweep(c *wire.Command) Result {
 	now := c.At.AsTime()
-	for key, d := range m.dispatches {
+	for k, d := range m.dispatches {
 		if now.After(d.KeepUntil.AsTime()) {
-			delete(m.dispatches, key)
+			delete(m.dispatches, k)
 		}
 	}
 	for id, j := range m.jobs {
--- a/internal/store/state/config.go
+++ b/internal/store/state/config.go
@@ -79,27 +79,27 @@
 // with the same nonce is granted again, because its answer may have been lost.
 func (m *Machine) openDispatch(d *wire.DispatchRecord) Result {
 	key := accountKey(d.ClientAccount, d.RequestId)
-	known := m.dispatches[key]
-	if known == nil {
-		known = proto.Clone(d).(*wire.DispatchRecord)
-		known.State = wire.DispatchState_DISPATCH_STATE_OPEN
-		m.dispatches[key] = known
+	record := m.dispatches[key]
+	if record == nil {
+		record = proto.Clone(d).(*wire.DispatchRecord)
+		record.State = wire.DispatchState_DISPATCH_STATE_OPEN
+		m.dispatches[key] = record
 	}
-	granted := known.Nonce == d.Nonce && known.State == wire.DispatchState_DISPATCH_STATE_OPEN
-	return Result{Dispatch: &wire.OpenDispatchResponse{Granted: granted, Recorded: proto.Clone(known).(*wire.DispatchRecord)}}
+	granted := record.Nonce == d.Nonce && record.State == wire.DispatchState_DISPATCH_STATE_OPEN
+	return Result{Dispatch: &wire.OpenDispatchResponse{Granted: granted, Recorded: proto.Clone(record).(*wire.DispatchRecord)}}
 }
 
 func (m *Machine) closeDispatch(d *wire.CloseDispatch) Result {
 	key := accountKey(d.ClientAccount, d.RequestId)
-	known := m.dispatches[key]
-	if known == nil || known.Nonce != d.Nonce {
+	record := m.dispatches[key]
+	if record == nil || record.Nonce != d.Nonce {
 		return Result{}
 	}
 	if d.NotRun {
 		delete(m.dispatches, key)
 		return Result{}
 	}
-	known.State = wire.DispatchState_DISPATCH_STATE_COMPLETED
+	record.State = wire.DispatchState_DISPATCH_STATE_COMPLETED
 	return Result{}
 }
 
--- a/internal/store/state/machine.go
+++ b/internal/store/state/machine.go
@@ -140,9 +140,9 @@
 func (m *Machine) Jobs(account string, state wire.JobState, after uint64, limit int) []*wire.Job {
 	var jobs []*wire.Job
 	for _, j := range m.jobs {
-		rightAccount := account == "" || j.Spec.ClientAccount == account
-		rightState := state == wire.JobState_JOB_STATE_UNSPECIFIED || j.State == state
-		if rightAccount && rightState && j.Sequence > after {
+		matchesAccount := account == "" || j.Spec.ClientAccount == account
+		matchesState := state == wire.JobState_JOB_STATE_UNSPECIFIED || j.State == state
+		if matchesAccount && matchesState && j.Sequence > after {
 			jobs = append(jobs, j)
 		}
 	}
@@ -205,9 +205,9 @@
 // AccountsWithQueuedJobs returns the names of the accounts that have queued jobs, sorted.
 func (m *Machine) AccountsWithQueuedJobs() []string {
 	var names []string
-	for name, q := range m.queues {
+	for n, q := range m.queues {
 		if q.len() > 0 {
-			names = append(names, name)
+			names = append(names, n)
 		}
 	}
 	sort.Strings(names)
@@ -262,8 +262,8 @@
 	}
 	m.graph.Load(s.Work)
 	m.indexConfiguration()
-	for id, reason := range s.Quarantines {
-		m.quarantines[id] = reason
+	for id, r := range s.Quarantines {
+		m.quarantines[id] = r
 	}
 	for _, w := range s.Workers {
 		m.addWorker(w)
--- a/internal/store/state/state_test.go
+++ b/internal/store/state/state_test.go
@@ -156,17 +156,16 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			m := newTestMachine(t)
-			for _, command := range c.before {
-				assert.NilError(t, m.Apply(command).Err)
+			for _, b := range c.before {
+				assert.NilError(t, m.Apply(b).Err)
 			}
 			assert.ErrorIs(t, m.Apply(c.command).PlacementErrors[0], c.want)
 		})
 	}
 }
 
-// Guards against running work of a lost worker twice or not at all: idempotent jobs are
-// queued again at their checkpoint, others end with an unknown outcome, and late reports
-// are ignored.
+// Guards against running work of a lost worker twice or not at all: only idempotent and
+// standing jobs are queued again, at their checkpoint, and late reports are ignored.
 func TestLostWorker(t *testing.T) {
 	m := newTestMachine(t)
 	for _, c := range []*wire.Command{submit("j", "audit", 0), submit("b", "bill", 0), submit("s", "watch", 0)} {
@@ -218,8 +217,8 @@
 			m := newTestMachine(t)
 			m.Apply(submit("j", c.kind, 0))
 			m.Apply(place("j", 1, "w1", "a"))
-			for _, command := range c.commands {
-				m.Apply(command)
+			for _, cm := range c.commands {
+				m.Apply(cm)
 			}
 			assertJob(t, m, "j", c.want, 1)
 		})
@@ -227,9 +226,9 @@
 	t.Run("failed for good", func(t *testing.T) {
 		m := newTestMachine(t)
 		m.Apply(submit("j", "audit", 0))
-		for attempt := uint32(1); attempt <= 3; attempt++ {
-			m.Apply(place("j", attempt, "w1", "a"))
-			m.Apply(end("j", attempt, "w1", wire.TaskState_TASK_STATE_FAILED, 0))
+		for n := uint32(1); n <= 3; n++ {
+			m.Apply(place("j", n, "w1", "a"))
+			m.Apply(end("j", n, "w1", wire.TaskState_TASK_STATE_FAILED, 0))
 		}
 		assertJob(t, m, "j", wire.JobState_JOB_STATE_FAILED, 3)
 	})
@@ -294,9 +293,9 @@
 	var used state.Resources
 	for id, w := range m.Workers() {
 		var sum state.Resources
-		for job, j := range w.Tasks {
-			assert.Equal(t, workerOf[job], "", "%s is running on two workers", job)
-			workerOf[job] = id
+		for k, j := range w.Tasks {
+			assert.Equal(t, workerOf[k], "", "%s is running on two workers", k)
+			workerOf[k] = id
 			assert.Equal(t, j.State, wire.JobState_JOB_STATE_RUNNING)
 			assert.Equal(t, j.WorkerIncarnation, w.Record.Incarnation)
 			sum = sum.Add(state.ResourcesOf(j.Spec.Resources))
