--- a/internal/store/walog/diskfull.go
+++ b/internal/store/walog/diskfull.go
@@ -55,9 +55,9 @@
 // future, so that the process can stop.
 func (l *Log) AbortRetries() { l.diskFull.aborted.Store(true) }
 
-// retryWhileFull calls write, which leaves nothing behind when it fails, until the disk
-// isn't full. Between attempts it calls freeSpace, which may be nil; other processes may
-// free space as well.
+// retryWhileFull calls write until it succeeds or fails for another reason than a full disk,
+// or until AbortRetries is called. On a full disk, write must leave nothing behind. Between
+// attempts it calls freeSpace, which may be nil; other processes may free space as well.
 //
 // While it retries, the replica acknowledges nothing and, as leader, sends no heartbeats,
 // so that another one is elected. Treating a full disk as a failed one would make the
@@ -106,7 +106,7 @@
 	return err
 }
 
-// syncFile syncs a file to disk.
+// syncFile syncs a file to disk. An error must not be retried, whatever its cause.
 func (l *Log) syncFile(file *os.File) error {
 	if err := l.options.Sync(file); err != nil {
 		return &permanentError{"syncing " + file.Name(), err}
--- a/internal/store/walog/diskfull_test.go
+++ b/internal/store/walog/diskfull_test.go
@@ -51,7 +51,7 @@
 	t.Helper()
 	before := d.failedWrites.Load()
 	for end := time.Now().Add(time.Minute); d.failedWrites.Load() == before; time.Sleep(time.Millisecond) {
-		assert.Assert(t, time.Now().Before(end), "no write was refused")
+		assert.Assert(t, time.Now().Before(end), "no write failed")
 	}
 }
 
@@ -59,14 +59,14 @@
 // for failures at various positions of a batch.
 func TestAppendIsRetriedOnFullDisk(t *testing.T) {
 	const batch = 360 // bytes; the entries below are slightly larger
-	for space := int64(0); space < batch; space += 7 {
-		t.Run(fmt.Sprint(space, " bytes"), func(t *testing.T) {
+	for n := int64(0); n < batch; n += 7 {
+		t.Run(fmt.Sprint(n, " bytes"), func(t *testing.T) {
 			t.Parallel()
 			folder, disk := t.TempDir(), &limitedDisk{}
 			disk.free.Store(10000)
 			l := disk.open(t, folder)
 			assert.NilError(t, l.Append(testEntries(1, 3, 1)))
-			disk.free.Store(space)
+			disk.free.Store(n)
 			done := make(chan error, 1)
 			go func() { done <- l.Append(testEntries(4, 12, 2)) }()
 			disk.waitForFailedWrite(t)
@@ -108,19 +108,19 @@
 	l := disk.open(t, folder)
 	assert.NilError(t, l.SaveVote(&wire.Vote{Term: 3}))
 	assert.NilError(t, l.WriteSnapshot(&wire.Snapshot{Index: 3, Term: 1}))
-	for name, write := range map[string]func() error{
+	for n, f := range map[string]func() error{
 		"vote":     func() error { return l.SaveVote(&wire.Vote{Term: 4}) },
 		"snapshot": func() error { return l.WriteSnapshot(&wire.Snapshot{Index: 5, Term: 2}) },
 	} {
-		t.Run(name, func(t *testing.T) {
+		t.Run(n, func(t *testing.T) {
 			disk.free.Store(5)
 			done := make(chan error, 1)
-			go func() { done <- write() }()
+			go func() { done <- f() }()
 			disk.waitForFailedWrite(t)
 			disk.waitForFailedWrite(t)
 			disk.free.Store(10000)
 			assert.NilError(t, <-done)
-			_, err := os.Stat(filepath.Join(folder, name+".new"))
+			_, err := os.Stat(filepath.Join(folder, n+".new"))
 			assert.Assert(t, os.IsNotExist(err))
 		})
 	}
--- a/internal/store/walog/frame.go
+++ b/internal/store/walog/frame.go
@@ -17,7 +17,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// frame is a decoded frame.
+// frame is a frame read from a file.
 type frame struct {
 	payload []byte
 	// syncedSize is the size of the segment that was synced when the frame was written. It
--- a/internal/store/walog/walog_test.go
+++ b/internal/store/walog/walog_test.go
@@ -106,11 +106,11 @@
 	assert.NilError(t, l.Close())
 	intact, err := os.ReadFile(path)
 	assert.NilError(t, err)
-	for cut := len(before) + 1; cut < len(intact); cut++ {
-		assert.NilError(t, os.WriteFile(path, intact[:cut], 0o600))
+	for at := len(before) + 1; at < len(intact); at++ {
+		assert.NilError(t, os.WriteFile(path, intact[:at], 0o600))
 		l, d, err := walog.Open(folder, walog.Options{})
-		assert.NilError(t, err, "cut at %d", cut)
-		assert.Assert(t, len(d.Entries) >= 3 && len(d.Entries) < 5, "cut at %d: %d entries", cut, len(d.Entries))
+		assert.NilError(t, err, "cut at %d", at)
+		assert.Assert(t, len(d.Entries) >= 3 && len(d.Entries) < 5, "cut at %d: %d entries", at, len(d.Entries))
 		assert.NilError(t, l.Append(testEntries(uint64(len(d.Entries))+1, 6, 2)))
 		assert.NilError(t, l.Close())
 		l, d, err = walog.Open(folder, walog.Options{})
@@ -180,20 +180,20 @@
 // Guards against retrying a failed sync. The error must be returned so that the caller
 // stops.
 func TestSyncErrorIsReturned(t *testing.T) {
-	disk := errors.New("input/output error")
+	diskErr := errors.New("input/output error")
 	fail := false
 	l, _, err := walog.Open(t.TempDir(), walog.Options{Sync: func(f *os.File) error {
 		if fail {
-			return disk
+			return diskErr
 		}
 		return f.Sync()
 	}})
 	assert.NilError(t, err)
 	assert.NilError(t, l.Append(testEntries(1, 1, 1)))
 	fail = true
-	assert.ErrorIs(t, l.Append(testEntries(2, 2, 1)), disk)
-	assert.ErrorIs(t, l.SaveVote(&wire.Vote{Term: 3}), disk)
-	assert.ErrorIs(t, l.WriteSnapshot(&wire.Snapshot{Index: 1}), disk)
+	assert.ErrorIs(t, l.Append(testEntries(2, 2, 1)), diskErr)
+	assert.ErrorIs(t, l.SaveVote(&wire.Vote{Term: 3}), diskErr)
+	assert.ErrorIs(t, l.WriteSnapshot(&wire.Snapshot{Index: 1}), diskErr)
 }
 
 func TestFolderIsLocked(t *testing.T) {
