--- a/internal/store/peers/bootstrap.go
+++ b/internal/store/peers/bootstrap.go
@@ -115,14 +115,14 @@
 func (b *Bootstrapper) tryBootstrap(ctx context.Context) *wire.Membership {
 	initial := []*wire.ControlMember{asVoter(b.Self)}
 	responses := b.identifyInitialMembers(ctx)
-	for _, response := range append(responses, b.identifySeeds(ctx)...) {
-		if response.GetFounding() != nil {
-			return joinMembership(response.Founding, b.Self.ReplicaId)
+	for _, r := range append(responses, b.identifySeeds(ctx)...) {
+		if r.GetFounding() != nil {
+			return joinMembership(r.Founding, b.Self.ReplicaId)
 		}
 	}
-	for _, response := range responses {
-		if response != nil {
-			initial = append(initial, asVoter(response.Self))
+	for _, r := range responses {
+		if r != nil {
+			initial = append(initial, asVoter(r.Self))
 		}
 	}
 	if b.JoinOnly || !b.isInitialMember() || len(initial) < len(b.InitialMembers) {
@@ -132,8 +132,8 @@
 	return &wire.Membership{Members: initial, ClusterId: clusterID(initial)}
 }
 
-// identifyInitialMembers asks the initial members about a cluster. The response is nil for
-// those that didn't respond.
+// identifyInitialMembers asks the initial members which cluster they belong to. The response
+// is nil for this replica and for those that didn't respond.
 func (b *Bootstrapper) identifyInitialMembers(ctx context.Context) []*wire.IdentifyResponse {
 	return b.identifyAll(ctx, b.InitialMembers)
 }
@@ -171,12 +171,12 @@
 	return false
 }
 
-// RequestJoin requests every known replica to let this one join. Any of them may be the
-// leader, and the initial members may no longer exist.
+// RequestJoin asks every known replica to let this one join. Any of them may be the leader,
+// and the initial members may no longer exist.
 func (b *Bootstrapper) RequestJoin(ctx context.Context) {
 	var requests sync.WaitGroup
-	for _, address := range b.addresses() {
-		requests.Go(func() { b.identifyPeer(ctx, address) })
+	for _, a := range b.addresses() {
+		requests.Go(func() { b.identifyPeer(ctx, a) })
 	}
 	requests.Wait()
 }
@@ -251,8 +251,8 @@
 }
 
 func containsMember(m *wire.Membership, id uint64) bool {
-	for _, member := range m.GetMembers() {
-		if member.ReplicaId == id {
+	for _, cm := range m.GetMembers() {
+		if cm.ReplicaId == id {
 			return true
 		}
 	}
