--- a/internal/sched/plan/bench_test.go
+++ b/internal/sched/plan/bench_test.go
@@ -106,20 +106,20 @@
 // BenchmarkPlacement measures the time from a submitted job to its committed placement,
 // with one job per pass (batch=1) and with several.
 func BenchmarkPlacement(b *testing.B) {
-	for _, size := range []struct{ workers, tasks, batch int }{
+	for _, c := range []struct{ workers, tasks, batch int }{
 		{690, 10_600, 1}, {benchWorkers, benchTasks, 1}, {benchWorkers, benchTasks, 40},
 	} {
-		b.Run(fmt.Sprintf("workers=%d/tasks=%d/batch=%d", size.workers, size.tasks, size.batch), func(b *testing.B) {
-			s := newBench(size.workers, size.tasks)
+		b.Run(fmt.Sprintf("workers=%d/tasks=%d/batch=%d", c.workers, c.tasks, c.batch), func(b *testing.B) {
+			s := newBench(c.workers, c.tasks)
 			b.ResetTimer()
 			for b.Loop() {
-				for range size.batch {
+				for range c.batch {
 					s.finishOldest()
 					s.submit()
 				}
 				s.tick()
 			}
-			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*size.batch), "us/placement")
+			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*c.batch), "us/placement")
 		})
 	}
 }
--- a/internal/sched/plan/crash_test.go
+++ b/internal/sched/plan/crash_test.go
@@ -19,22 +19,21 @@
 	// expires before a report of its next incarnation arrives, since the worker may only
 	// be unreachable; here messages are lost and late.
 	const maxCrashes = 5 + 3
-	for seed := range uint64(30) {
-		s, jobs := simulateCrashes(t, seed)
+	for n := range uint64(30) {
+		s, jobs := simulateCrashes(t, n)
 		for id := range s.crashingJobs {
-			assert.Equal(t, s.machine.Job(id).State, wire.JobState_JOB_STATE_FAILED, "seed %d: %s crashed %d workers", seed, id, s.crashes[id])
-			assert.Assert(t, s.crashes[id] <= maxCrashes, "seed %d: %s crashed %d workers", seed, id, s.crashes[id])
+			assert.Equal(t, s.machine.Job(id).State, wire.JobState_JOB_STATE_FAILED, "seed %d: %s crashed %d workers", n, id, s.crashes[id])
+			assert.Assert(t, s.crashes[id] <= maxCrashes, "seed %d: %s crashed %d workers", n, id, s.crashes[id])
 		}
 		for i := range jobs {
 			j := s.machine.Job(fmt.Sprint("j", i))
-			assert.Equal(t, j.State, wire.JobState_JOB_STATE_FINISHED, "seed %d: job %d, which crashes no worker", seed, i)
+			assert.Equal(t, j.State, wire.JobState_JOB_STATE_FINISHED, "seed %d: job %d, which crashes no worker", n, i)
 		}
 	}
 }
 
-// Guards against a job that runs on two workers: a worker frozen past its lease is
-// declared lost, registers again and gets a new lease, and then receives an older answer
-// with an order to start the job. A start order must expire with the lease it came with.
+// Guards against a job that runs on two workers because one of them, lost and registered
+// again with a new lease, executes a start order that came with its expired lease.
 func TestStartOrderExpiresWithLease(t *testing.T) {
 	simulateCrashes(t, 146)
 }
--- a/internal/sched/plan/place.go
+++ b/internal/sched/plan/place.go
@@ -127,9 +127,9 @@
 
 func (p *Planner) accountQueues(now time.Time, total state.Resources) []*accountQueue {
 	var queues []*accountQueue
-	for _, name := range p.options.Machine.AccountsWithQueuedJobs() {
-		queue := &accountQueue{name: name, share: p.weightedShare(name, total)}
-		p.options.Machine.Queued(name, func(j *wire.Job) bool {
+	for _, n := range p.options.Machine.AccountsWithQueuedJobs() {
+		queue := &accountQueue{name: n, share: p.weightedShare(n, total)}
+		p.options.Machine.Queued(n, func(j *wire.Job) bool {
 			if _, pending := p.pending[j.JobId]; !pending && !inBackoff(j, now) {
 				queue.jobs = append(queue.jobs, j)
 			}
@@ -146,16 +146,16 @@
 // if there is any, and of those the one with the smallest share.
 func nextAccount(queues []*accountQueue) int {
 	best := 0
-	for i, queue := range queues {
+	for i, q := range queues {
 		current := queues[best]
-		urgent, bestUrgent := queue.jobs[0].Spec.Urgent, current.jobs[0].Spec.Urgent
+		urgent, bestUrgent := q.jobs[0].Spec.Urgent, current.jobs[0].Spec.Urgent
 		if urgent != bestUrgent {
 			if urgent {
 				best = i
 			}
 			continue
 		}
-		if queue.share < current.share {
+		if q.share < current.share {
 			best = i
 		}
 	}
@@ -205,8 +205,8 @@
 	}
 }
 
-// selectWorker returns the best of up to maxCandidates workers with sufficient free
-// resources, or nil if no worker has them.
+// selectWorker returns the best of up to maxCandidates workers that can take the job, or nil
+// if no worker can.
 func (p *Planner) selectWorker(eligible eligibleWorkers, j *wire.Job, need state.Resources) *workerView {
 	var best *workerView
 	var bestScore float64
@@ -241,9 +241,9 @@
 	return capacity.Sub(w.Committed).Sub(p.assumedByWorker[w.Record.WorkerId])
 }
 
-// isCrashSuspect reports whether a job was running on a worker that crashed. A crash
-// counts for all jobs on the worker, of which at most one is the cause. Suspects are placed
-// on different workers, or the harmless ones would be counted with the cause each time.
+// isCrashSuspect reports whether a worker crashed soon after the job was started there. A
+// crash counts for all such jobs, of which at most one is the cause. Suspects are placed on
+// different workers, or the harmless ones would be counted with the cause each time.
 func isCrashSuspect(j *wire.Job) bool { return j.WorkerCrashes > 0 }
 
 func hasCrashSuspect(w *state.Worker) bool {
@@ -258,9 +258,9 @@
 // markCrashSuspects marks the workers with pending placements of crash suspects.
 func (p *Planner) markCrashSuspects(eligible eligibleWorkers) {
 	marked := map[string]bool{}
-	for id, pending := range p.pending {
+	for id, pl := range p.pending {
 		if j := p.options.Machine.Job(id); j != nil && isCrashSuspect(j) {
-			marked[pending.worker] = true
+			marked[pl.worker] = true
 		}
 	}
 	for i := range eligible.workers {
@@ -276,10 +276,10 @@
 		return nil
 	}
 	counts := map[string]int{}
-	for _, view := range eligible.workers {
-		for _, t := range view.worker.Tasks {
+	for _, v := range eligible.workers {
+		for _, t := range v.worker.Tasks {
 			if t.Class == j.Class && t.Spec.ClientAccount == j.Spec.ClientAccount {
-				counts[view.worker.Record.FailureDomain]++
+				counts[v.worker.Record.FailureDomain]++
 			}
 		}
 	}
@@ -291,8 +291,8 @@
 // is placed in a later pass.
 func (p *Planner) preempt(eligible eligibleWorkers, need state.Resources) {
 	var victims []*wire.Job
-	for _, view := range eligible.workers {
-		chosen, ok := p.selectVictims(view.worker, need)
+	for _, v := range eligible.workers {
+		chosen, ok := p.selectVictims(v.worker, need)
 		if !ok {
 			continue
 		}
@@ -343,8 +343,8 @@
 		if !p.leaderSince.Equal(since) {
 			return
 		}
-		for i, placement := range batch {
-			p.removePending(placement.JobId)
+		for i, pl := range batch {
+			p.removePending(pl.JobId)
 			if err != nil {
 				continue
 			}
@@ -353,7 +353,7 @@
 				continue
 			}
 			placedTotal.Inc()
-			j := p.options.Machine.Job(placement.JobId)
+			j := p.options.Machine.Job(pl.JobId)
 			p.sendOrder(j, startOrder(j))
 		}
 		p.dirty = true
--- a/internal/sched/plan/plan_test.go
+++ b/internal/sched/plan/plan_test.go
@@ -15,13 +15,12 @@
 
 const seeds = 150
 
-// Guards against jobs that are lost or run in two places. Messages are late, lost and out
-// of order; workers freeze past their leases, restart and report to old leaders; leaders
-// change while proposals are pending.
+// Guards against jobs that are lost or run in two places as messages are late or lost, workers
+// freeze past their leases or report to old leaders, and leaders change with proposals pending.
 func TestNoJobRunsInTwoPlaces(t *testing.T) {
 	evictions := 0
-	for seed := range uint64(seeds) {
-		s := newSim(seed, 4)
+	for n := range uint64(seeds) {
+		s := newSim(n, 4)
 		jobs := 0
 		for range 6 {
 			for i := range 10 {
@@ -36,10 +35,10 @@
 			s.elect()
 		}
 		s.run(3 * time.Minute)
-		assert.Assert(t, len(s.violations) == 0, "seed %d: %v", seed, s.violations)
+		assert.Assert(t, len(s.violations) == 0, "seed %d: %v", n, s.violations)
 		for i := range jobs {
 			j := s.machine.Job(fmt.Sprint("j", i))
-			assert.Equal(t, j.State, wire.JobState_JOB_STATE_FINISHED, "seed %d: job %d", seed, i)
+			assert.Equal(t, j.State, wire.JobState_JOB_STATE_FINISHED, "seed %d: job %d", n, i)
 		}
 		evictions += s.evictions
 	}
@@ -48,20 +47,20 @@
 
 // Guards against a faulty worker that uses up the attempts of all jobs.
 func TestFaultyWorkerIsQuarantined(t *testing.T) {
-	for seed := range uint64(20) {
-		s := newSim(seed, 4)
+	for n := range uint64(20) {
+		s := newSim(n, 4)
 		s.workers[0].faulty = true
 		for i := range 60 {
 			s.submit(fmt.Sprint("j", i), "a", false)
 			s.run(time.Second)
 		}
 		s.run(2 * time.Minute)
-		assert.Assert(t, s.machine.Quarantines()["w0"] != "", "seed %d", seed)
+		assert.Assert(t, s.machine.Quarantines()["w0"] != "", "seed %d", n)
 		for _, w := range s.workers[1:] {
-			assert.Equal(t, s.machine.Quarantines()[w.id], "", "seed %d: %s", seed, w.id)
+			assert.Equal(t, s.machine.Quarantines()[w.id], "", "seed %d: %s", n, w.id)
 		}
 		for i := range 60 {
-			assert.Equal(t, s.machine.Job(fmt.Sprint("j", i)).State, wire.JobState_JOB_STATE_FINISHED, "seed %d: job %d", seed, i)
+			assert.Equal(t, s.machine.Job(fmt.Sprint("j", i)).State, wire.JobState_JOB_STATE_FINISHED, "seed %d: job %d", n, i)
 		}
 	}
 }
