--- a/internal/sched/tails/baseline.go
+++ b/internal/sched/tails/baseline.go
@@ -17,7 +17,7 @@
 	// tail latencies are reported in whole milliseconds.
 	minDeviation = 0.02
 	// warmupTime is the time after a run's first reading during which its smoothed tail
-	// latency is still too low.
+	// latency is still too low, since the smoothing starts from zero.
 	warmupTime = 1500 * time.Millisecond
 	// baselineDrift is the variance of the change of a baseline between two readings
 	// that its periodic variation doesn't explain.
@@ -178,8 +178,8 @@
 // of the colocated load.
 func (m *Model) colocatedVariance(r Reading) float64 {
 	sum := 0.0
-	for image, share := range r.Uncertain.sorted() {
-		deviation := m.Weight(r.Target.Image, image) * share
+	for im, sh := range r.Uncertain.sorted() {
+		deviation := m.Weight(r.Target.Image, im) * sh
 		sum += deviation * deviation
 	}
 	return sum
--- a/internal/sched/tails/model.go
+++ b/internal/sched/tails/model.go
@@ -25,7 +25,7 @@
 	// priorWeight is the weight of a pair of images never seen together. It lies between
 	// typical harmless and harmful weights, so that a small first trial is allowed.
 	priorWeight = 0.5
-	// maxWeight bounds a weight, so that no bad reading separates a pair permanently.
+	// maxWeight bounds a weight, so that one bad reading doesn't separate a pair permanently.
 	maxWeight = 4.0
 	// priorWeightVariance is the variance of priorWeight, and the maximum of any weight's.
 	priorWeightVariance = 0.25
@@ -97,8 +97,8 @@
 // Interference returns the utilization that a colocated load adds to a standing task.
 func (m *Model) Interference(standing string, colocated Load) float64 {
 	sum := 0.0
-	for image, share := range colocated.sorted() {
-		sum += m.Weight(standing, image) * share
+	for im, sh := range colocated.sorted() {
+		sum += m.Weight(standing, im) * sh
 	}
 	return sum
 }
@@ -107,12 +107,12 @@
 // weights taken as fully correlated.
 func (m *Model) Uncertainty(standing string, colocated Load) float64 {
 	sum := 0.0
-	for image, share := range colocated.sorted() {
+	for im, sh := range colocated.sorted() {
 		variance := priorWeightVariance
-		if current, ok := m.weights[imagePair{standing, image}]; ok {
+		if current, ok := m.weights[imagePair{standing, im}]; ok {
 			variance = current.variance
 		}
-		sum += math.Sqrt(variance) * share
+		sum += math.Sqrt(variance) * sh
 	}
 	return sum
 }
@@ -124,19 +124,19 @@
 		m.weights = map[imagePair]estimate{}
 	}
 	totalVariance := variance
-	for image, share := range change.sorted() {
-		current := m.currentEstimate(standing, image, now)
-		totalVariance += current.variance * share * share
-		m.weights[imagePair{standing, image}] = current
+	for im, sh := range change.sorted() {
+		current := m.currentEstimate(standing, im, now)
+		totalVariance += current.variance * sh * sh
+		m.weights[imagePair{standing, im}] = current
 	}
 	bound := outlierDeviations * math.Sqrt(totalVariance)
 	residual = min(max(residual, -bound), bound)
-	for image, share := range change {
-		current := m.weights[imagePair{standing, image}]
-		gain := current.variance * share / totalVariance
+	for im, sh := range change {
+		current := m.weights[imagePair{standing, im}]
+		gain := current.variance * sh / totalVariance
 		current.weight = min(max(current.weight+gain*residual, 0), maxWeight)
-		current.variance *= 1 - gain*share
-		m.weights[imagePair{standing, image}] = current
+		current.variance *= 1 - gain*sh
+		m.weights[imagePair{standing, im}] = current
 	}
 }
 
@@ -157,12 +157,12 @@
 	return func(yield func(string, float64) bool) {
 		var buffer [16]string // avoids an allocation for up to 16 images
 		images := buffer[:0]
-		for image := range l {
-			images = append(images, image)
+		for im := range l {
+			images = append(images, im)
 		}
 		slices.Sort(images)
-		for _, image := range images {
-			if !yield(image, l[image]) {
+		for _, im := range images {
+			if !yield(im, l[im]) {
 				return
 			}
 		}
@@ -172,14 +172,14 @@
 // Sub returns the change since an earlier load, without the images that didn't change.
 func (l Load) Sub(earlier Load) Load {
 	change := Load{}
-	for image, share := range l {
-		if d := share - earlier[image]; d != 0 {
-			change[image] = d
+	for im, sh := range l {
+		if d := sh - earlier[im]; d != 0 {
+			change[im] = d
 		}
 	}
-	for image, share := range earlier {
-		if _, ok := l[image]; !ok {
-			change[image] = -share
+	for im, sh := range earlier {
+		if _, ok := l[im]; !ok {
+			change[im] = -sh
 		}
 	}
 	return change
@@ -188,13 +188,13 @@
 // blend returns the weighted average of two loads, where other has the given weight.
 func (l Load) blend(other Load, weight float64) Load {
 	blended := Load{}
-	for image, share := range l {
-		if share > negligibleShare {
-			blended[image] += share * (1 - weight)
+	for im, sh := range l {
+		if sh > negligibleShare {
+			blended[im] += sh * (1 - weight)
 		}
 	}
-	for image, share := range other {
-		blended[image] += share * weight
+	for im, sh := range other {
+		blended[im] += sh * weight
 	}
 	return blended
 }
--- a/internal/sched/tails/model_test.go
+++ b/internal/sched/tails/model_test.go
@@ -46,8 +46,8 @@
 	for range readingInterval / modelTick {
 		s.now += modelTick
 		utilization := s.baselineLoad()
-		for image, share := range s.colocated {
-			utilization += s.trueWeights[image] * share
+		for im, sh := range s.colocated {
+			utilization += s.trueWeights[im] * sh
 		}
 		decay := math.Exp(-float64(modelTick) / float64(smoothingTime))
 		s.smoothedTail = s.smoothedTail*decay + 25/(1-min(utilization, maxUtilization))*(1-decay)
@@ -60,10 +60,10 @@
 // changeColocated starts and ends colocated runs at random.
 func (s *simulatedRun) changeColocated() {
 	next := Load{}
-	for _, image := range []string{"harmless", "also harmless", "harmful", "worse"} {
-		next[image] = s.colocated[image]
+	for _, im := range []string{"harmless", "also harmless", "harmful", "worse"} {
+		next[im] = s.colocated[im]
 		if s.random.IntN(6) == 0 {
-			next[image] = float64(s.random.IntN(3)) * 0.09
+			next[im] = float64(s.random.IntN(3)) * 0.09
 		}
 	}
 	if s.trueWeights != nil {
@@ -81,20 +81,20 @@
 // Guards against attributing the periodic variation of baselines to colocated images.
 func TestVariationIsNotInterference(t *testing.T) {
 	trueWeights := map[string]float64{"harmless": 0.05, "also harmless": 0.15, "harmful": 1, "worse": 2}
-	for seed := range uint64(20) {
+	for n := range uint64(20) {
 		model := &Model{}
 		runs := make([]*simulatedRun, 12)
 		for i := range runs {
-			runs[i] = newSimulatedRun(seed, i, 20*time.Second, model, trueWeights)
+			runs[i] = newSimulatedRun(n, i, 20*time.Second, model, trueWeights)
 		}
 		for range 60 {
 			for _, r := range runs {
 				r.step()
 			}
 		}
-		for image, want := range trueWeights {
-			got := model.Weight("standing", image)
-			assert.Assert(t, math.Abs(got-want) < 0.1+want/5, "seed %d: weight of %s is %.2f, want %.2f", seed, image, got, want)
+		for im, w := range trueWeights {
+			got := model.Weight("standing", im)
+			assert.Assert(t, math.Abs(got-w) < 0.1+w/5, "seed %d: weight of %s is %.2f, want %.2f", n, im, got, w)
 		}
 	}
 }
@@ -102,12 +102,12 @@
 // Guards against placements that have to be stopped two seconds later because the
 // baseline was taken as constant or extrapolated linearly.
 func TestVariationIsPredicted(t *testing.T) {
-	for _, period := range []time.Duration{14 * time.Second, 20 * time.Second} {
-		t.Run(period.String(), func(t *testing.T) {
+	for _, d := range []time.Duration{14 * time.Second, 20 * time.Second} {
+		t.Run(d.String(), func(t *testing.T) {
 			model := &Model{}
 			runs := make([]*simulatedRun, 40)
 			for i := range runs {
-				runs[i] = newSimulatedRun(1, i, period, model, nil)
+				runs[i] = newSimulatedRun(1, i, d, model, nil)
 			}
 			const ahead = 2 * time.Second
 			var deviation, peakDeviation, n float64
@@ -126,7 +126,7 @@
 					peakDeviation += math.Abs(model.PredictPeak(&r.baseline, r.now+ahead) - highest)
 				}
 			}
-			frequency := 2 * math.Pi / period.Seconds()
+			frequency := 2 * math.Pi / d.Seconds()
 			assert.Assert(t, math.Abs(model.Variation.AngularFrequency()/frequency-1) < 0.15, "frequency is %.3f rad/s, want %.3f", model.Variation.AngularFrequency(), frequency)
 			assert.Assert(t, deviation/n < 0.05, "mean error two seconds ahead is %.3f", deviation/n)
 			assert.Assert(t, peakDeviation/n < 0.05, "mean error of the peak is %.3f", peakDeviation/n)
@@ -176,8 +176,8 @@
 	got := Load{"came": 0.2, "stayed": 0.1, "grew": 0.3}.Sub(Load{"went": 0.4, "stayed": 0.1, "grew": 0.25})
 	assert.Equal(t, len(got), 3)
 	want := Load{"came": 0.2, "went": -0.4, "grew": 0.05}
-	for image, want := range want {
-		assert.Assert(t, math.Abs(got[image]-want) < 1e-9, "%s: %v", image, got[image])
+	for im, w := range want {
+		assert.Assert(t, math.Abs(got[im]-w) < 1e-9, "%s: %v", im, got[im])
 	}
 }
 
--- a/internal/sched/tails/save.go
+++ b/internal/sched/tails/save.go
@@ -14,9 +14,9 @@
 	saved := &wire.Learned{Swing: &wire.LearnedSwing{
 		Samples: m.Variation.samples, Sum: m.Variation.sum, Squares: m.Variation.squares, Products: m.Variation.products, LagSeconds: m.Variation.lagSeconds,
 	}}
-	for pair, estimate := range m.weights {
+	for p, e := range m.weights {
 		saved.Pairs = append(saved.Pairs, &wire.LearnedPair{
-			Standing: pair.standing, Beside: pair.opportunistic, Weight: float32(estimate.weight), Variance: float32(estimate.variance),
+			Standing: p.standing, Beside: p.opportunistic, Weight: float32(e.weight), Variance: float32(e.variance),
 		})
 	}
 	sort.Slice(saved.Pairs, func(i, k int) bool {
@@ -26,8 +26,8 @@
 		}
 		return a.Beside < b.Beside
 	})
-	for image, milliseconds := range m.minTails {
-		saved.Floors = append(saved.Floors, &wire.LearnedFloor{Image: image, Milliseconds: float32(milliseconds)})
+	for im, ms := range m.minTails {
+		saved.Floors = append(saved.Floors, &wire.LearnedFloor{Image: im, Milliseconds: float32(ms)})
 	}
 	sort.Slice(saved.Floors, func(i, k int) bool { return saved.Floors[i].Image < saved.Floors[k].Image })
 	return saved
