--- a/internal/sched/lease/table.go
+++ b/internal/sched/lease/table.go
@@ -31,7 +31,8 @@
 	// Table holds the leases that one leader granted in one term. See NewTable.
 	Table struct {
 		duration time.Duration
-		// earliestExpiry is when all leases of earlier leaders have expired.
+		// earliestExpiry is when all leases of earlier leaders have certainly expired. No
+		// lease counts as expired before.
 		earliestExpiry time.Time
 		grants         map[string]grant
 	}
--- a/internal/sched/lease/table_test.go
+++ b/internal/sched/lease/table_test.go
@@ -17,9 +17,8 @@
 	overlap  = time.Second
 )
 
-// Guards against a task that runs in two places: with late reports, late answers and
-// leader changes, a table must not report a lease as expired before it has expired by the
-// worker's clock, which may run slow by the allowed drift.
+// Guards against a task that runs in two places because a lease counts as expired before it
+// has expired by the worker's clock, which may run slow by the allowed drift.
 func TestNeverExpiredTooEarly(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		start := time.Unix(1000, 0)
