--- a/internal/front/admit/queue.go
+++ b/internal/front/admit/queue.go
@@ -108,8 +108,8 @@
 // of the account's remaining calls that precede w.
 func (q *Queue[T]) RemoveIf(drop func(w *Waiter[T], ahead int) bool) []*Waiter[T] {
 	var removed []*Waiter[T]
-	for _, account := range q.accounts {
-		inOrder := slices.Clone(account.waiters)
+	for _, aq := range q.accounts {
+		inOrder := slices.Clone(aq.waiters)
 		slices.SortFunc(inOrder, func(a, b *Waiter[T]) int { return a.Deadline.Compare(b.Deadline) })
 		ahead := 0
 		for _, w := range inOrder {
@@ -136,7 +136,9 @@
 	return weight / total
 }
 
-// pruneIdle removes accounts without waiting calls whose virtual time has been reached.
+// pruneIdle removes accounts without waiting calls. One whose virtual start is still ahead
+// has been served beyond its share and is kept: its next call must not start without that
+// debt.
 func (q *Queue[T]) pruneIdle() {
 	for name, a := range q.accounts {
 		if len(a.waiters) == 0 && a.virtualStart <= q.virtualTime {
--- a/internal/front/admit/queue_test.go
+++ b/internal/front/admit/queue_test.go
@@ -73,8 +73,8 @@
 	for _, d := range []int{5, 2, 9, 1} {
 		q.Push(waiter("a", 1, d))
 	}
-	for _, want := range []int64{1, 2, 5, 9} {
-		assert.Equal(t, q.Pop().Deadline.Unix(), want)
+	for _, w := range []int64{1, 2, 5, 9} {
+		assert.Equal(t, q.Pop().Deadline.Unix(), w)
 	}
 	assert.Assert(t, q.Pop() == nil)
 }
--- a/internal/front/calls/calls.go
+++ b/internal/front/calls/calls.go
@@ -109,8 +109,8 @@
 	for _, a := range v.Configuration.GetClientAccounts() {
 		index.accounts[a.Name] = a
 	}
-	for _, service := range v.Configuration.GetServices() {
-		index.services[service.Name] = service
+	for _, sv := range v.Configuration.GetServices() {
+		index.services[sv.Name] = sv
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,8 +135,8 @@
 func (s *Server) each(f func(*route.Service)) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	for _, service := range s.services {
-		f(service)
+	for _, sv := range s.services {
+		f(sv)
 	}
 }
 
@@ -238,7 +238,8 @@
 	}
 }
 
-// visibleASCII reports whether s is safe to use in a header line.
+// visibleASCII reports whether s has only visible ASCII characters, so that it can't break a
+// header line.
 func visibleASCII(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
@@ -297,8 +298,7 @@
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), abortTimeout)
 		defer cancel()
 		if err := s.options.Fence.Abort(ctx, c.permit); err != nil {
-			// The caller's next attempt would be answered from the open record, which
-			// contradicts "not run".
+			// A resend would be answered from the open record, which contradicts "not run".
 			return c.unknown("not run, but its record could not be cleared")
 		}
 	default:
@@ -321,7 +321,8 @@
 	}
 }
 
-// mayRetry reports whether another attempt is safe and within the limits.
+// mayRetry reports whether another attempt is safe and within the limits. If so, it takes
+// the attempt from the retry budget.
 func (s *Server) mayRetry(ctx context.Context, c *call) bool {
 	if c.mayHaveRun && !c.request.Idempotent {
 		return false
@@ -332,8 +333,8 @@
 	return s.budget.TryWithdraw(c.request.ClientAccount, c.request.Service)
 }
 
-// attempt acquires a slot and sends the request once. If the response is nil, the attempt
-// may be retried and the error is the reason why it failed.
+// attempt acquires a slot and sends the request once. A nil response means that the attempt
+// failed for the reason in the error, and that another one may follow if mayRetry allows.
 func (s *Server) attempt(ctx context.Context, c *call) (*wire.CallResponse, error) {
 	slot := route.SlotRequest{
 		Account: c.request.ClientAccount, Weight: c.account.Share,
@@ -346,20 +347,20 @@
 	if err != nil {
 		return c.refused(err), nil
 	}
-	began := s.options.Clock.Now()
-	if !began.Before(c.deadline) {
+	startedAt := s.options.Clock.Now()
+	if !startedAt.Before(c.deadline) {
 		c.service.Release(b, route.AttemptOutcome{})
 		return c.notRun("the deadline passed before it was sent", defaultRetryAfter), nil
 	}
 	c.attempts++
 	attemptsTotal.Inc()
 	c.tried = append(c.tried, b.ID())
-	response, late, err := b.Do(ctx, began, route.Request{
+	response, late, err := b.Do(ctx, startedAt, route.Request{
 		ID: c.request.RequestId, Account: c.request.ClientAccount, Service: c.request.Service,
-		Payload: c.request.Payload, Deadline: s.attemptDeadline(c, began),
+		Payload: c.request.Payload, Deadline: s.attemptDeadline(c, startedAt),
 		Idempotent: c.request.Idempotent, MaxResponseBytes: int(s.options.Settings.MaxPayloadBytes),
 	})
-	s.recordAttempt(c, b, began, response, late, err)
+	s.recordAttempt(c, b, startedAt, response, late, err)
 	if err == nil {
 		return c.completed(b.ID(), response), nil
 	}
@@ -367,8 +368,8 @@
 	return nil, err
 }
 
-// attemptDeadline reserves time for a retry if one is allowed and the rest suffices for
-// nearly all requests.
+// attemptDeadline returns the deadline of an attempt. It reserves time for a retry if one
+// is allowed and the rest suffices for nearly all requests.
 func (s *Server) attemptDeadline(c *call, now time.Time) time.Time {
 	if !c.request.Idempotent || c.attempts >= s.options.Settings.MaxAttempts {
 		return c.deadline
@@ -382,12 +383,12 @@
 
 // recordAttempt records the outcome of an attempt and releases its slot. If a late
 // response is outstanding, the slot is released once it has arrived or timed out.
-func (s *Server) recordAttempt(c *call, b *route.Backend, began time.Time, response route.Response, late func() bool, err error) {
+func (s *Server) recordAttempt(c *call, b *route.Backend, startedAt time.Time, response route.Response, late func() bool, err error) {
 	now := s.options.Clock.Now()
 	outcome := route.AttemptOutcome{}
 	switch {
 	case err == nil:
-		outcome.Latency = max(now.Sub(began), 1)
+		outcome.Latency = max(now.Sub(startedAt), 1)
 		s.options.Roster.RecordReply(now, b.ID(), b.Incarnation(), response.Leaving)
 	case response.Status != 0: // rejected, but alive
 		s.options.Roster.RecordReply(now, b.ID(), b.Incarnation(), response.Leaving)
@@ -402,16 +403,19 @@
 	go func() {
 		outcome := route.AttemptOutcome{}
 		if late() {
-			outcome.LateLatency = s.options.Clock.Since(began)
+			outcome.LateLatency = s.options.Clock.Since(startedAt)
 		}
 		c.service.Release(b, outcome)
 	}()
 }
 
-// openDispatch acquires the permit of a non-idempotent request before its first attempt.
-// The request holds no slot while it waits for the commit, which may take until its
-// deadline if there is no leader. A request that would get no slot is rejected without a
-// record, so that overload of a service causes no commits.
+// openDispatch acquires the permit of a non-idempotent request before its first attempt. It
+// returns a response if the request must not be sent, and nil otherwise.
+//
+// The request holds no slot while it waits for the commit. Without a leader that may take
+// until its deadline, and calls that need no record would wait for the slot. A request that
+// would get no slot is rejected without a record, so that overload of a service causes no
+// commits.
 func (s *Server) openDispatch(ctx context.Context, c *call, slot route.SlotRequest) *wire.CallResponse {
 	if c.request.Idempotent || c.permit != nil {
 		return nil
@@ -439,6 +443,8 @@
 	}
 }
 
+// notRun returns a response with outcome NOT_RUN, or UNKNOWN if an earlier attempt may have
+// run the request.
 func (c *call) notRun(reason string, retryAfter time.Duration) *wire.CallResponse {
 	if c.mayHaveRun {
 		return c.unknown(reason)
--- a/internal/front/desk/desk.go
+++ b/internal/front/desk/desk.go
@@ -19,7 +19,7 @@
 	// Conn is a connection to a control replica.
 	Conn = grpc.ClientConnInterface
 
-	// Desk holds the methods of WorkService as the leader executes them.
+	// Desk has a function for each method of WorkService.
 	Desk struct {
 		Submit     func(context.Context, *wire.SubmitWorkRequest) (*wire.SubmitWorkResponse, error)
 		Inspect    func(context.Context, *wire.InspectWorkRequest) (*wire.InspectWorkResponse, error)
--- a/internal/front/fence/fence.go
+++ b/internal/front/fence/fence.go
@@ -73,7 +73,7 @@
 	key := r.ClientAccount + "\x00" + r.RequestId
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.evictExpired()
+	f.evict()
 	if execution := f.executions[key]; execution != nil {
 		joinedTotal.Inc()
 		return execution, false
@@ -106,10 +106,11 @@
 	}
 	f.cached = append(f.cached, execution)
 	f.cachedBytes += len(response.Payload)
-	f.evictExpired()
+	f.evict()
 }
 
-func (f *Fence) evictExpired() {
+// evict removes the oldest responses while they are expired or exceed maxCachedBytes.
+func (f *Fence) evict() {
 	now := f.clock.Now()
 	for len(f.cached) > 0 && (f.cachedBytes > maxCachedBytes || now.Sub(f.cached[0].finishedAt) > responseTTL) {
 		oldest := f.cached[0]
--- a/internal/front/relay/relay.go
+++ b/internal/front/relay/relay.go
@@ -205,6 +205,7 @@
 // maxBatch bounds the number of reports in one message.
 const maxBatch = 512
 
+// batch returns first and the reports queued behind it, up to maxBatch in all.
 func (r *Relay) batch(first *wire.AttendRequest) []*wire.AttendRequest {
 	reports := []*wire.AttendRequest{first}
 	for len(reports) < maxBatch {
@@ -228,13 +229,14 @@
 		case answered <- struct{}{}:
 		default:
 		}
-		for _, answer := range response.Answers {
-			r.forwardAnswer(answer)
+		for _, a := range response.Answers {
+			r.forwardAnswer(a)
 		}
 	}
 }
 
-// forwardAnswer queues an answer for its worker, unless the worker has restarted.
+// forwardAnswer queues an answer for its worker, unless the worker has disconnected or
+// restarted.
 func (r *Relay) forwardAnswer(answer *wire.WorkerAnswer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/front/route/attempt.go
+++ b/internal/front/route/attempt.go
@@ -29,7 +29,8 @@
 )
 
 // lateResponseTimeout bounds the wait for a response whose deadline has passed. After it
-// the connection is closed and the slot released.
+// the connection is closed and the slot released. A backend server that hangs for so long
+// has been ejected by then.
 const lateResponseTimeout = 30 * time.Second
 
 // Errors of attempts that returned no complete response.
@@ -63,9 +64,9 @@
 // ErrUnknown. The caller holds a slot. If late isn't nil, the caller must call it and
 // keep the slot until it returns.
 //
-// Late waits for a response whose deadline has passed and reports whether it arrived.
-// The backend server may still be processing the request, so that releasing the slot at
-// the deadline would admit more requests than the backend server can run.
+// The function late waits for a response whose deadline has passed, and reports whether it
+// arrived. The backend server may still be processing the request, so that releasing the
+// slot at the deadline would admit more requests than the backend server can run.
 func (b *Backend) Do(ctx context.Context, now time.Time, r Request) (response Response, late func() bool, err error) {
 	ctx, span := spans.StartSpan(ctx, "attempt", attribute.String("backend_server", b.ID()))
 	defer span.End()
--- a/internal/front/route/backend.go
+++ b/internal/front/route/backend.go
@@ -21,10 +21,10 @@
 	ejectionThreshold = 3
 	baseEjectionTime  = time.Second
 	maxEjectionTime   = 30 * time.Second
-	// maxIdleTime bounds the age of idle connections. A middlebox may have dropped the
-	// state of an older one.
+	// maxIdleTime is how long a connection may have been idle to be reused. After a
+	// longer time a middlebox may have dropped its state.
 	maxIdleTime = 5 * time.Second
-	// maxIdleTimeNonIdempotent is the same bound for non-idempotent requests, whose
+	// maxIdleTimeNonIdempotent is the same limit for non-idempotent requests, whose
 	// outcome would be unknown if the connection turned out to be dead.
 	maxIdleTimeNonIdempotent = time.Second
 	dialTimeout              = time.Second
@@ -48,8 +48,8 @@
 		Failed bool
 	}
 
-	// Backend is one incarnation of a backend server. The mutex of its Service guards all
-	// fields but the idle connections.
+	// Backend is one incarnation of a backend server. The mutex of its Service guards the
+	// fields that mu doesn't.
 	Backend struct {
 		announcement   *wire.Announcement
 		slotLimit      int // this entry's share of the slots
@@ -122,7 +122,7 @@
 }
 
 // connect returns an idle connection or dials a new one. For a non-idempotent request
-// the idle connection must have been used recently.
+// the idle connection must have returned a response recently.
 func (b *Backend) connect(now, deadline time.Time, nonIdempotent bool) (*connection, error) {
 	limit := maxIdleTime
 	if nonIdempotent {
@@ -141,8 +141,8 @@
 }
 
 // popIdle removes and returns the most recently used connection. If that one has been
-// idle for longer than the limit, popIdle closes it and returns nil, so that the
-// connection dialed in its place doesn't exceed the number of slots.
+// idle for longer than the limit, popIdle closes it and returns nil: the caller dials one
+// in its place, so that idle and busy connections together never exceed the slots.
 func (b *Backend) popIdle(now time.Time, limit time.Duration) *connection {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/front/route/route_test.go
+++ b/internal/front/route/route_test.go
@@ -26,12 +26,12 @@
 	assert.NilError(t, err)
 	t.Cleanup(func() { listener.Close() })
 	go func() {
-		for _, response := range responses {
+		for _, r := range responses {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go serveScripted(conn, response)
+			go serveScripted(conn, r)
 		}
 	}()
 	return newBackend(&wire.Announcement{BackendServerId: "s", Address: listener.Addr().String(), Slots: 8, Connections: 8})
@@ -237,7 +237,8 @@
 	assert.Equal(t, s.backends[0].inFlight, 0)
 }
 
-// A backend server that fails repeatedly is ejected unless it is the only one.
+// Guards against picking a backend server that fails repeatedly, and against rejecting calls
+// because the only one left is ejected.
 func TestEjection(t *testing.T) {
 	s, clock := newTestService(2, 10)
 	bad := s.backends[0]
--- a/internal/front/route/service.go
+++ b/internal/front/route/service.go
@@ -42,7 +42,7 @@
 	noServerRetryAfter = time.Second
 )
 
-// Reasons of a Refusal. The call has not been run.
+// Reasons for a Refusal. The call has not been run.
 var (
 	ErrNoServer         = errors.New("no usable backend server")
 	ErrQueueFull        = errors.New("the queue is full")
@@ -286,8 +286,8 @@
 	}
 }
 
-// pick returns the backend server with the lowest cost out of a random sample of those
-// with a free slot, or nil if there is no free slot.
+// pick returns the available backend server with the lowest cost out of a random sample.
+// If the sample has none, it scans all. It returns nil if there is no free slot.
 func (s *Service) pick(now time.Time, tried []string) *Backend {
 	if s.freeSlots <= 0 {
 		return nil
@@ -309,8 +309,8 @@
 	return s.scan(now, tried)
 }
 
-// scan returns the first backend server with a free slot, starting from a random one.
-// Those not yet tried are preferred.
+// scan returns the first available backend server, starting from a random one. Those not
+// yet tried are preferred to the others, and these to ejected ones.
 func (s *Service) scan(now time.Time, tried []string) *Backend {
 	n := len(s.backends)
 	begin := rand.IntN(n)
@@ -330,8 +330,9 @@
 	return s.leastEjected(begin)
 }
 
-// leastEjected returns the backend server whose ejection ends first. It is used if all
-// with a free slot are ejected, since ejection must never leave callers without any.
+// leastEjected returns the backend server with a free slot whose ejection ends first. It
+// is used if all with a free slot are ejected, since ejection must never leave callers
+// without any.
 func (s *Service) leastEjected(begin int) *Backend {
 	n := len(s.backends)
 	var best *Backend
@@ -345,8 +346,8 @@
 }
 
 // cost estimates the latency of the next call on a backend server. A slow one that hasn't
-// been picked for the probe interval costs nothing, so that it is picked once and its
-// recovery is noticed.
+// been picked for the probe interval costs nothing, so that it is picked once. Otherwise
+// it would never be picked again, and its recovery never noticed.
 func (s *Service) cost(now time.Time, b *Backend) float64 {
 	if b.latency > s.latency.mean && now.Sub(b.lastPicked) > probeInterval {
 		return 0
@@ -399,8 +400,8 @@
 )
 
 func (g grants) deliver() {
-	for _, granted := range g {
-		granted.waiter.Grant(granted.backend)
+	for _, gr := range g {
+		gr.waiter.Grant(gr.backend)
 	}
 }
 
--- a/internal/front/uplink/leader.go
+++ b/internal/front/uplink/leader.go
@@ -18,8 +18,8 @@
 	attemptTimeout = 1 * time.Second
 	// retryInterval is the pause between attempts.
 	retryInterval = 25 * time.Millisecond
-	// electionWait bounds the wait for an election. Callers wait for 3 s in all, so that
-	// they have time for another attempt.
+	// electionWait bounds the wait for an election. Callers wait for 3 s in all, which
+	// leaves them time for another attempt.
 	electionWait = 1200 * time.Millisecond
 )
 
@@ -33,7 +33,7 @@
 // The error has code Unavailable if the call was certainly not executed and Aborted if it
 // may have been executed. Other codes are the leader's response.
 func CallLeader[Q, R any](ctx context.Context, u *Uplink, request Q, method Method[Q, R]) (R, error) {
-	began := u.options.Clock.Now()
+	startedAt := u.options.Clock.Now()
 	uncertain := false
 	for {
 		response, err := callOnce(ctx, u, request, method)
@@ -41,7 +41,7 @@
 			return response, err
 		}
 		uncertain = uncertain || !notExecuted(err)
-		if !u.shouldRetry(began, uncertain) {
+		if !u.shouldRetry(startedAt, uncertain) {
 			return response, finalError(err, uncertain)
 		}
 		select {
@@ -52,15 +52,15 @@
 	}
 }
 
-// shouldRetry reports whether a call that started at began should be attempted again.
-// Without enough responsive replicas for an election it fails immediately. A call that may
-// have been executed is retried for as long as its caller waits, since the next leader
+// shouldRetry reports whether a call should be attempted again. It returns false after
+// electionWait, and immediately if too few replicas respond to elect a leader. A call that
+// may have been executed is retried for as long as its caller waits, since the next leader
 // can determine its outcome.
-func (u *Uplink) shouldRetry(began time.Time, uncertain bool) bool {
+func (u *Uplink) shouldRetry(startedAt time.Time, uncertain bool) bool {
 	if uncertain {
 		return true
 	}
-	return u.quorumResponsive() && u.options.Clock.Now().Sub(began) < electionWait
+	return u.quorumResponsive() && u.options.Clock.Now().Sub(startedAt) < electionWait
 }
 
 // callOnce makes one attempt. It is canceled once another leader is known, since the
--- a/internal/front/uplink/leader_test.go
+++ b/internal/front/uplink/leader_test.go
@@ -38,11 +38,11 @@
 		Clock: f.clock, Logger: slog.New(slog.NewTextHandler(io.Discard, nil)), Pool: pool,
 		Self: &wire.EntryStatus{EntryId: "e"}, OnEntriesChanged: func([]string) {},
 	})
-	for i, address := range voters {
-		f.receiveHello(address, "", 1)
+	for i, a := range voters {
+		f.receiveHello(a, "", 1)
 		if i >= responsive {
-			f.uplink.recordFailure(address)
-			f.uplink.recordFailure(address)
+			f.uplink.recordFailure(a)
+			f.uplink.recordFailure(a)
 		}
 	}
 	return f
@@ -51,8 +51,8 @@
 // receiveHello simulates a hello response that names the leader.
 func (f *fixture) receiveHello(from, leader string, term uint64) {
 	r := &wire.HelloResponse{LeaderAddress: leader, Term: term}
-	for _, address := range voters {
-		r.Members = append(r.Members, &wire.ControlMember{Address: address, Voter: true})
+	for _, a := range voters {
+		r.Members = append(r.Members, &wire.ControlMember{Address: a, Voter: true})
 	}
 	f.uplink.recordHello(from, r)
 }
@@ -110,8 +110,8 @@
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		if f.clock.BlockUntilContext(ctx, 1) == nil {
-			for _, address := range voters[:3] {
-				f.receiveHello(address, "", 1)
+			for _, a := range voters[:3] {
+				f.receiveHello(a, "", 1)
 			}
 			f.clock.Advance(retryInterval)
 		}
@@ -146,11 +146,11 @@
 	f := newFixture(t, 5)
 	f.receiveHello(voters[0], voters[0], 2)
 	loseConnections := func(context.Context) error {
-		for _, address := range voters {
-			f.uplink.recordFailure(address)
-			f.uplink.recordFailure(address)
+		for _, a := range voters {
+			f.uplink.recordFailure(a)
+			f.uplink.recordFailure(a)
 		}
-		return status.Error(codes.DeadlineExceeded, "silent")
+		return status.Error(codes.DeadlineExceeded, "no response")
 	}
 	f.responses = append(f.responses, loseConnections, succeed)
 	result := make(chan error, 1)
--- a/internal/front/uplink/uplink.go
+++ b/internal/front/uplink/uplink.go
@@ -196,7 +196,7 @@
 func (u *Uplink) recordHello(address string, r *wire.HelloResponse) {
 	u.mu.Lock()
 	if known := u.replicas[address].response; r.EntriesDigest != 0 && r.EntriesDigest == known.GetEntriesDigest() {
-		r.Entries = known.Entries
+		r.Entries = known.Entries // the replica lists them only if they have changed
 	}
 	u.replicas[address] = replicaStatus{response: r, receivedAt: u.options.Clock.Now()}
 	u.mu.Unlock()
@@ -232,9 +232,9 @@
 func (u *Uplink) recordFailure(address string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if replica, ok := u.replicas[address]; ok {
-		replica.failedHellos++
-		u.replicas[address] = replica
+	if rs, ok := u.replicas[address]; ok {
+		rs.failedHellos++
+		u.replicas[address] = rs
 	}
 }
 
@@ -248,15 +248,15 @@
 	var term uint64
 	entries := map[string]*wire.EntryStatus{u.options.Self.EntryId: u.options.Self}
 	valid := 0
-	for _, replica := range u.replicas {
-		if now.Sub(replica.receivedAt) > statusTTL {
+	for _, rs := range u.replicas {
+		if now.Sub(rs.receivedAt) > statusTTL {
 			continue
 		}
 		valid++
-		if replica.response.LeaderAddress != "" && replica.response.Term >= term {
-			leader, term = replica.response.LeaderAddress, replica.response.Term
+		if rs.response.LeaderAddress != "" && rs.response.Term >= term {
+			leader, term = rs.response.LeaderAddress, rs.response.Term
 		}
-		for _, e := range replica.response.Entries {
+		for _, e := range rs.response.Entries {
 			entries[e.EntryId] = e
 		}
 	}
@@ -295,8 +295,8 @@
 }
 
 // fetchConfiguration fetches a newer configuration from the replica. The first one must
-// be confirmed by a quorum: before a restart this entry may have used a newer one than a
-// lagging replica has.
+// be confirmed by a quorum: this entry before a restart, or the entry that it replaces, may
+// have used a newer one than a lagging replica has.
 func (u *Uplink) fetchConfiguration(ctx context.Context, conn *grpc.ClientConn, r *wire.HelloResponse) {
 	first := u.config.Load() == nil
 	if !first && r.ConfigurationVersion <= u.configurationVersion() {
@@ -370,12 +370,12 @@
 	defer u.mu.Unlock()
 	// A replica that hasn't joined the cluster responds without members.
 	var newest *wire.HelloResponse
-	for address, replica := range u.replicas {
-		r := replica.response
+	for a, rs := range u.replicas {
+		r := rs.response
 		if len(r.Members) == 0 {
 			continue
 		}
-		if newest == nil || r.Term > newest.Term || (r.Term == newest.Term && r.LeaderAddress == address) {
+		if newest == nil || r.Term > newest.Term || (r.Term == newest.Term && r.LeaderAddress == a) {
 			newest = r
 		}
 	}
@@ -396,7 +396,7 @@
 // with a valid status and fewer than maxFailedHellos failures. It returns true if no
 // member is known.
 func (u *Uplink) quorumResponsive() bool {
-	responsive, members := u.countMembers(func(replica replicaStatus) bool { return replica.failedHellos < maxFailedHellos })
+	responsive, members := u.countMembers(func(rs replicaStatus) bool { return rs.failedHellos < maxFailedHellos })
 	return members == 0 || responsive > members/2
 }
 
@@ -408,7 +408,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, a := range addresses {
-		if replica, ok := u.replicas[a]; ok && now.Sub(replica.receivedAt) <= statusTTL && condition(replica) {
+		if rs, ok := u.replicas[a]; ok && now.Sub(rs.receivedAt) <= statusTTL && condition(rs) {
 			counted++
 		}
 	}
