--- a/internal/run/ctrl/ctrl.go
+++ b/internal/run/ctrl/ctrl.go
@@ -174,8 +174,8 @@
 	c.pool.Options = link.Options{Traced: common.TraceEndpoint != "", SourceIP: common.SourceAddress}
 	c.self = &wire.ControlMember{Name: common.InstanceId, Address: setup.AdvertisedAddress(common), ReplicaId: durable.Vote.ReplicaId}
 	c.bootstrapper = &peers.Bootstrapper{Self: c.self, Pool: &c.pool, JoinOnly: c.settings.FirstStart == "false"}
-	for _, text := range c.settings.FoundingMembers {
-		name, address, _ := strings.Cut(text, "=")
+	for _, t := range c.settings.FoundingMembers {
+		name, address, _ := strings.Cut(t, "=")
 		c.bootstrapper.InitialMembers = append(c.bootstrapper.InitialMembers, &wire.ControlMember{Name: name, Address: address})
 	}
 	c.bootstrapper.InitialMembers = append(c.bootstrapper.InitialMembers, seedMembers(c.settings)...)
@@ -185,8 +185,8 @@
 // seedMembers returns the control replicas that the settings list by address only.
 func seedMembers(s *wire.ControlSettings) []*wire.ControlMember {
 	var members []*wire.ControlMember
-	for _, address := range setup.SeedAddresses(s.Seeds) {
-		members = append(members, &wire.ControlMember{Name: address, Address: address})
+	for _, a := range setup.SeedAddresses(s.Seeds) {
+		members = append(members, &wire.ControlMember{Name: a, Address: a})
 	}
 	return members
 }
@@ -200,7 +200,7 @@
 			return
 		case settings := <-reloads:
 			c.bootstrapper.SetSeeds(seedMembers(settings))
-			c.logger.Info("settings reloaded", "seeds", setup.SeedAddresses(settings.Seeds))
+			c.logger.Info("settings applied", "seeds", setup.SeedAddresses(settings.Seeds))
 		}
 	}
 }
@@ -292,9 +292,9 @@
 }
 
 func addressOf(m *wire.Membership, id uint64) string {
-	for _, member := range m.GetMembers() {
-		if member.ReplicaId == id {
-			return member.Address
+	for _, mb := range m.GetMembers() {
+		if mb.ReplicaId == id {
+			return mb.Address
 		}
 	}
 	return ""
@@ -351,7 +351,8 @@
 	c.logger.Info("stopped")
 }
 
-// transferLeadership waits until another replica leads or the timeout passes.
+// transferLeadership transfers leadership, and waits until another replica leads or the
+// timeout passes.
 func (c *Control) transferLeadership() {
 	ctx, cancel := context.WithTimeout(context.Background(), leadershipTransferTimeout)
 	defer cancel()
--- a/internal/run/ctrl/jobs.go
+++ b/internal/run/ctrl/jobs.go
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// copyJob copies a job on the event loop, where alone it may be accessed.
+// copyJob copies a job on the event loop, since it may not be accessed elsewhere.
 func (s *jobService) copyJob(ctx context.Context, id string, into **wire.Job) error {
 	return statusError(s.node.Do(ctx, func() {
 		if j := s.machine.Job(id); j != nil {
@@ -207,9 +207,9 @@
 func (t *watchTable) notify(j *wire.Job) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for changed := range t.watchers[j.JobId] {
+	for ch := range t.watchers[j.JobId] {
 		select {
-		case changed <- struct{}{}:
+		case ch <- struct{}{}:
 		default:
 		}
 	}
--- a/internal/run/ctrl/membership.go
+++ b/internal/run/ctrl/membership.go
@@ -38,8 +38,8 @@
 
 func countVoters(m *wire.Membership) int {
 	voters := 0
-	for _, member := range m.GetMembers() {
-		if member.Voter {
+	for _, mb := range m.GetMembers() {
+		if mb.Voter {
 			voters++
 		}
 	}
@@ -75,29 +75,29 @@
 // none is necessary.
 func (c *Control) applyNextChange(m *wire.Membership) (string, error) {
 	core := c.node.Core()
-	for _, learner := range m.Members {
-		if learner.Voter {
+	for _, l := range m.Members {
+		if l.Voter {
 			continue
 		}
-		if joining := c.pendingJoinAt(learner.Address); joining != nil && joining.ReplicaId != learner.ReplicaId {
-			return "remove learner " + learner.Name + ", whose disk was lost", core.Remove(learner.ReplicaId)
+		if joining := c.pendingJoinAt(l.Address); joining != nil && joining.ReplicaId != l.ReplicaId {
+			return "remove learner " + l.Name + ", whose disk was lost", core.Remove(l.ReplicaId)
 		}
-		if old := voterAt(m, learner.Address); old != nil {
-			return "replace the lost disk of " + old.Name, core.Replace(old.ReplicaId, learner.ReplicaId)
+		if old := voterAt(m, l.Address); old != nil {
+			return "replace the lost disk of " + old.Name, core.Replace(old.ReplicaId, l.ReplicaId)
 		}
-		if core.CaughtUp(learner.ReplicaId) != nil || c.node.SinceLastResponse(learner.ReplicaId) > membershipInterval {
+		if core.CaughtUp(l.ReplicaId) != nil || c.node.SinceLastResponse(l.ReplicaId) > membershipInterval {
 			continue
 		}
 		if unresponsive := c.unresponsiveVoter(m); unresponsive != nil && countVoters(m) >= c.requiredVoters() {
-			return "remove unresponsive " + unresponsive.Name + " in favor of " + learner.Name, core.Remove(unresponsive.ReplicaId)
+			return "remove unresponsive " + unresponsive.Name + " in favor of " + l.Name, core.Remove(unresponsive.ReplicaId)
 		}
 		if countVoters(m) < c.requiredVoters() {
-			return "give " + learner.Name + " a vote", core.Promote(learner.ReplicaId)
+			return "give " + l.Name + " a vote", core.Promote(l.ReplicaId)
 		}
 	}
-	for _, joining := range c.bootstrapper.PendingJoins() {
-		if len(m.Members) < maxMembers || voterAt(m, joining.Address) != nil {
-			return "add " + joining.Name + " as learner", core.AddLearner(joining)
+	for _, j := range c.bootstrapper.PendingJoins() {
+		if len(m.Members) < maxMembers || voterAt(m, j.Address) != nil {
+			return "add " + j.Name + " as learner", core.AddLearner(j)
 		}
 	}
 	return "", nil
@@ -107,9 +107,9 @@
 // may return with its vote. Therefore it is removed first, and the learner promoted by a
 // separate change; only a lost disk is replaced in a single change.
 func (c *Control) unresponsiveVoter(m *wire.Membership) *wire.ControlMember {
-	for _, member := range m.Members {
-		if member.Voter && c.node.SinceLastResponse(member.ReplicaId) > voterTimeout {
-			return member
+	for _, mb := range m.Members {
+		if mb.Voter && c.node.SinceLastResponse(mb.ReplicaId) > voterTimeout {
+			return mb
 		}
 	}
 	return nil
@@ -117,18 +117,18 @@
 
 // pendingJoinAt returns the replica at an address that asks to join, or nil.
 func (c *Control) pendingJoinAt(address string) *wire.ControlMember {
-	for _, joining := range c.bootstrapper.PendingJoins() {
-		if joining.Address == address {
-			return joining
+	for _, j := range c.bootstrapper.PendingJoins() {
+		if j.Address == address {
+			return j
 		}
 	}
 	return nil
 }
 
 func voterAt(m *wire.Membership, address string) *wire.ControlMember {
-	for _, member := range m.Members {
-		if member.Voter && member.Address == address {
-			return member
+	for _, mb := range m.Members {
+		if mb.Voter && mb.Address == address {
+			return mb
 		}
 	}
 	return nil
--- a/internal/run/ctrl/operator.go
+++ b/internal/run/ctrl/operator.go
@@ -59,7 +59,8 @@
 	return response, nil
 }
 
-// waitInForce returns the IDs of the entries that have applied a version.
+// waitInForce waits, up to inForceWait, until all entries have applied a version, and
+// returns the IDs of those that have.
 func (s *operatorService) waitInForce(ctx context.Context, version uint64) []string {
 	deadline := s.clock.Now().Add(inForceWait)
 	for {
@@ -114,9 +115,9 @@
 				QuarantineReason: w.Quarantine,
 			})
 		}
-		for id, reason := range s.machine.Quarantines() {
+		for id, q := range s.machine.Quarantines() {
 			if s.machine.Worker(id) == nil {
-				response.Workers = append(response.Workers, &wire.WorkerStatus{Worker: &wire.Worker{WorkerId: id}, QuarantineReason: reason})
+				response.Workers = append(response.Workers, &wire.WorkerStatus{Worker: &wire.Worker{WorkerId: id}, QuarantineReason: q})
 			}
 		}
 	})
@@ -160,8 +161,8 @@
 // ChangeControlMember adds a replica that asks to join, removes a member, or replaces a
 // member by such a replica. Each step is a separate change and is committed before the
 // next one. For a replacement the new replica first catches up as a learner, then the old
-// member is removed and the new one promoted, so that it has the whole log when it starts
-// to vote. The call is idempotent.
+// member is removed and the new one promoted: if a second replica is lost right afterwards,
+// the new voter has the whole log. The call is idempotent.
 func (s *operatorService) ChangeControlMember(ctx context.Context, r *wire.ChangeControlMemberRequest) (*wire.ChangeControlMemberResponse, error) {
 	if err := s.checkStarted(); err != nil {
 		return nil, err
@@ -242,10 +243,10 @@
 // pollSteps runs each step on the event loop, and repeats it while a membership change is
 // pending or a learner isn't ready.
 func (s *operatorService) pollSteps(ctx context.Context, steps ...func(*quorum.Core) error) error {
-	for _, step := range steps {
+	for _, st := range steps {
 		for {
 			var err error
-			if loopErr := s.node.Do(ctx, func() { err = step(s.node.Core()) }); loopErr != nil {
+			if loopErr := s.node.Do(ctx, func() { err = st(s.node.Core()) }); loopErr != nil {
 				return statusError(loopErr)
 			}
 			if err == nil {
--- a/internal/run/ctrl/peer.go
+++ b/internal/run/ctrl/peer.go
@@ -26,8 +26,8 @@
 	// helloPollTimeout is how long a hello waits for a change. It determines how soon an
 	// entry notices the loss of a replica; a shorter one causes more messages.
 	helloPollTimeout = 700 * time.Millisecond
-	// leaderCheckInterval is how often a relay stream checks that this replica still
-	// leads, so that entries reconnect soon after a leader change.
+	// leaderCheckInterval is how often a relay stream checks that this replica is still the
+	// leader, so that entries reconnect soon after a leader change.
 	leaderCheckInterval = 200 * time.Millisecond
 	// answerQueueSize bounds the answers waiting for one entry. A dropped answer is
 	// replaced by the answer to the worker's next report.
@@ -116,8 +116,8 @@
 	return response, nil
 }
 
-// awaitChange blocks a hello until there is something that the entry doesn't know, so that
-// all entries learn of a change without delay.
+// awaitChange blocks a hello until there is something that the entry doesn't know or
+// helloPollTimeout passes, so that all entries learn of a change without delay.
 func (s *controlService) awaitChange(ctx context.Context, r *wire.HelloRequest) *view {
 	v := s.view.Load()
 	deadline := s.clock.After(helloPollTimeout)
@@ -196,8 +196,8 @@
 		}
 		s.node.Post(func() {
 			now := s.clock.Now()
-			for _, report := range r.Reports {
-				s.planner.HandleReport(now, report, reply)
+			for _, rp := range r.Reports {
+				s.planner.HandleReport(now, rp, reply)
 			}
 		})
 	}
--- a/internal/run/entry/announce.go
+++ b/internal/run/entry/announce.go
@@ -34,8 +34,8 @@
 		*Entry
 	}
 
-	// sharer sends the announcements made to this entry to all other entries. Requests to
-	// different entries are independent of each other.
+	// sharer sends the announcements made to this entry to all other entries. A slow or
+	// unresponsive entry doesn't delay the others.
 	sharer struct {
 		entry    *Entry
 		mu       sync.Mutex
--- a/internal/run/entry/entry.go
+++ b/internal/run/entry/entry.go
@@ -114,7 +114,7 @@
 		case settings := <-e.reloads:
 			addresses := controlAddresses(settings)
 			e.uplink.SetAddresses(addresses)
-			e.logger.Info("settings reloaded", "control", addresses)
+			e.logger.Info("settings applied", "control", addresses)
 		}
 	}
 }
@@ -158,8 +158,8 @@
 	wire.RegisterWorkServiceServer(e.server, &workService{desk: e.desk()})
 }
 
-// entriesChanged divides the slots among the changed entries. sweep does so again once the
-// change has settled.
+// entriesChanged divides the slots among the new list of entries. sweep recomputes them once
+// the change has settled.
 func (e *Entry) entriesChanged(ids []string) {
 	next := e.divider.Load().WithEntries(e.settings.Common.InstanceId, ids, e.clock.Now(), settleTime)
 	e.divider.Store(&next)
@@ -229,8 +229,8 @@
 	e.logger.Info("readiness changed", "ready", ready)
 }
 
-// sweep periodically removes expired backend servers and waiting calls, and updates the
-// slots and the readiness.
+// sweep periodically removes expired backend servers and waiting calls, updates the slots
+// and the readiness, and closes connections that are no longer needed.
 func (e *Entry) sweep(ctx context.Context) {
 	ticker := e.clock.NewTicker(sweepInterval)
 	defer ticker.Stop()
--- a/internal/run/entry/work.go
+++ b/internal/run/entry/work.go
@@ -64,8 +64,8 @@
 	return s.desk.Domains(ctx, r)
 }
 
-// desk returns a Desk that calls the leader across leader changes. It logs each request
-// that changes a job and each request that isn't answered.
+// desk returns a Desk that calls the leader across leader changes. It logs each submission
+// and cancellation, and each inspection that isn't answered.
 func (e *Entry) desk() desk.Desk {
 	d := desk.Over(func(ctx context.Context, once func(context.Context, desk.Conn) error) error {
 		_, err := uplink.CallLeader(ctx, e.uplink, struct{}{}, func(ctx context.Context, conn *grpc.ClientConn, _ struct{}) (struct{}, error) {
@@ -75,22 +75,22 @@
 	})
 	submit, inspect, cancel := d.Submit, d.Inspect, d.Cancel
 	d.Submit = func(ctx context.Context, r *wire.SubmitWorkRequest) (*wire.SubmitWorkResponse, error) {
-		began := e.clock.Now()
+		startedAt := e.clock.Now()
 		response, err := submit(ctx, r)
-		e.recordWork("submit", r.Target, response.GetAnswer(), began, err)
+		e.recordWork("submit", r.Target, response.GetAnswer(), startedAt, err)
 		return response, err
 	}
 	d.Cancel = func(ctx context.Context, r *wire.CancelWorkRequest) (*wire.CancelWorkResponse, error) {
-		began := e.clock.Now()
+		startedAt := e.clock.Now()
 		response, err := cancel(ctx, r)
-		e.recordWork("cancel", r.Target, response.GetAnswer(), began, err)
+		e.recordWork("cancel", r.Target, response.GetAnswer(), startedAt, err)
 		return response, err
 	}
 	d.Inspect = func(ctx context.Context, r *wire.InspectWorkRequest) (*wire.InspectWorkResponse, error) {
-		began := e.clock.Now()
+		startedAt := e.clock.Now()
 		response, err := inspect(ctx, r)
 		if err != nil {
-			e.recordWork("inspect", r.Target, response.GetAnswer(), began, err)
+			e.recordWork("inspect", r.Target, response.GetAnswer(), startedAt, err)
 		}
 		return response, err
 	}
@@ -98,16 +98,16 @@
 }
 
 // recordWork records the metrics and the log line of a request.
-func (e *Entry) recordWork(call string, target *wire.WorkTarget, answer wire.WorkAnswer, began time.Time, err error) {
-	took := e.clock.Now().Sub(began)
-	workSeconds.Update(took.Seconds())
+func (e *Entry) recordWork(call string, target *wire.WorkTarget, answer wire.WorkAnswer, startedAt time.Time, err error) {
+	duration := e.clock.Now().Sub(startedAt)
+	workSeconds.Update(duration.Seconds())
 	if err != nil {
 		workUnanswered.Inc()
 		e.logger.Warn("work request unanswered", "call", call, "host", target.Host, "path", target.Path, "code", status.Code(err).String(),
-			"error", status.Convert(err).Message(), "took_ms", took.Milliseconds(), "leader", e.uplink.LeaderAddress())
+			"error", status.Convert(err).Message(), "took_ms", duration.Milliseconds(), "leader", e.uplink.LeaderAddress())
 		return
 	}
 	workAnswered.Inc()
 	e.logger.Info("work request answered", "call", call, "host", target.Host, "path", target.Path, "answer", answer.String(),
-		"took_ms", took.Milliseconds(), "leader", e.uplink.LeaderAddress())
+		"took_ms", duration.Milliseconds(), "leader", e.uplink.LeaderAddress())
 }
