--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -4,8 +4,9 @@
 // or to another one, which shares their announcements.
 //
 // The roster is soft state: a backend server gets no new work once its last sign of life
-// is older than a limit. Leaving is sticky within an incarnation, since an older
-// announcement may arrive later through another entry.
+// is older than a limit, whether it crashed or its announcements no longer reach this
+// entry. Leaving is sticky within an incarnation, since an older announcement may arrive
+// later through another entry.
 package roster
 
 import (
@@ -107,34 +108,34 @@
 	announcedTotal.Inc()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rec := r.records[a.BackendServerId]
-	if rec == nil {
-		rec = &record{}
-		r.records[a.BackendServerId] = rec
+	rc := r.records[a.BackendServerId]
+	if rc == nil {
+		rc = &record{}
+		r.records[a.BackendServerId] = rc
 	}
 	switch {
-	case rec.announcement != nil && a.Incarnation < rec.announcement.Incarnation:
+	case rc.announcement != nil && a.Incarnation < rc.announcement.Incarnation:
 		return nil
-	case rec.announcement != nil && a.Incarnation == rec.announcement.Incarnation && rec.announcement.Leaving && !a.Leaving:
+	case rc.announcement != nil && a.Incarnation == rc.announcement.Incarnation && rc.announcement.Leaving && !a.Leaving:
 		a = proto.Clone(a).(*wire.Announcement)
 		a.Leaving = true
 	}
-	changed := rec.announcement == nil || !proto.Equal(rec.announcement, a)
-	old := rec.announcement
+	changed := rc.announcement == nil || !proto.Equal(rc.announcement, a)
+	old := rc.announcement
 	if changed {
-		rec.announcement = a
+		rc.announcement = a
 	}
-	if at := now.Add(-age); at.After(rec.lastSeen) {
-		rec.lastSeen = at
+	if at := now.Add(-age); at.After(rc.lastSeen) {
+		rc.lastSeen = at
 	}
 	if direct {
-		rec.lastDirect = now
+		rc.lastDirect = now
 	}
-	usable := r.usable(rec, now)
-	if !changed && usable == rec.usable {
+	usable := r.usable(rc, now)
+	if !changed && usable == rc.usable {
 		return nil
 	}
-	rec.usable = usable
+	rc.usable = usable
 	r.notify(now, a.Service)
 	if old != nil && old.Service != a.Service {
 		r.notify(now, old.Service)
@@ -146,18 +147,18 @@
 func (r *Roster) RecordReply(now time.Time, id string, incarnation uint64, leaving bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rec := r.records[id]
-	if rec == nil || rec.announcement.Incarnation != incarnation {
+	rc := r.records[id]
+	if rc == nil || rc.announcement.Incarnation != incarnation {
 		return
 	}
-	if now.After(rec.lastSeen) {
-		rec.lastSeen = now
+	if now.After(rc.lastSeen) {
+		rc.lastSeen = now
 	}
-	if leaving && !rec.announcement.Leaving {
-		rec.announcement = proto.Clone(rec.announcement).(*wire.Announcement)
-		rec.announcement.Leaving = true
-		rec.usable = false
-		r.notify(now, rec.announcement.Service)
+	if leaving && !rc.announcement.Leaving {
+		rc.announcement = proto.Clone(rc.announcement).(*wire.Announcement)
+		rc.announcement.Leaving = true
+		rc.usable = false
+		r.notify(now, rc.announcement.Service)
 	}
 }
 
@@ -182,18 +183,18 @@
 // refresh recomputes which backend servers are usable and removes old records.
 func (r *Roster) refresh(now time.Time) {
 	changed := map[string]bool{}
-	for id, rec := range r.records {
-		if now.Sub(rec.lastSeen) > recordRetention {
+	for id, rc := range r.records {
+		if now.Sub(rc.lastSeen) > recordRetention {
 			delete(r.records, id)
 			continue
 		}
-		if usable := r.usable(rec, now); usable != rec.usable {
-			rec.usable = usable
-			changed[rec.announcement.Service] = true
+		if usable := r.usable(rc, now); usable != rc.usable {
+			rc.usable = usable
+			changed[rc.announcement.Service] = true
 		}
 	}
-	for service := range changed {
-		r.notify(now, service)
+	for s := range changed {
+		r.notify(now, s)
 	}
 }
 
@@ -203,9 +204,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var announcements []*wire.HeardAnnouncement
-	for _, rec := range r.records {
-		if age := now.Sub(rec.lastDirect); !rec.lastDirect.IsZero() && age <= r.options.MaxAge {
-			announcements = append(announcements, &wire.HeardAnnouncement{Announcement: rec.announcement, Age: durationpb.New(age)})
+	for _, rc := range r.records {
+		if age := now.Sub(rc.lastDirect); !rc.lastDirect.IsZero() && age <= r.options.MaxAge {
+			announcements = append(announcements, &wire.HeardAnnouncement{Announcement: rc.announcement, Age: durationpb.New(age)})
 		}
 	}
 	return announcements
@@ -216,9 +217,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []*wire.BackendServerStatus
-	for _, rec := range r.records {
+	for _, rc := range r.records {
 		list = append(list, &wire.BackendServerStatus{
-			Announcement: rec.announcement, EvidenceAge: durationpb.New(now.Sub(rec.lastSeen)), Usable: r.usable(rec, now),
+			Announcement: rc.announcement, EvidenceAge: durationpb.New(now.Sub(rc.lastSeen)), Usable: r.usable(rc, now),
 		})
 	}
 	sort.Slice(list, func(i, j int) bool {
@@ -227,16 +228,16 @@
 	return list
 }
 
-func (r *Roster) usable(rec *record, now time.Time) bool {
-	return !rec.announcement.Leaving && !r.drained[rec.announcement.FailureDomain] && now.Sub(rec.lastSeen) <= r.options.MaxAge
+func (r *Roster) usable(rc *record, now time.Time) bool {
+	return !rc.announcement.Leaving && !r.drained[rc.announcement.FailureDomain] && now.Sub(rc.lastSeen) <= r.options.MaxAge
 }
 
 // notify passes the usable backend servers of a service to OnChange.
 func (r *Roster) notify(now time.Time, service string) {
 	var usable []*wire.Announcement
-	for _, rec := range r.records {
-		if rec.announcement.Service == service && r.usable(rec, now) {
-			usable = append(usable, rec.announcement)
+	for _, rc := range r.records {
+		if rc.announcement.Service == service && r.usable(rc, now) {
+			usable = append(usable, rc.announcement)
 		}
 	}
 	sort.Slice(usable, func(i, j int) bool { return usable[i].BackendServerId < usable[j].BackendServerId })
--- a/internal/fleet/roster/roster_test.go
+++ b/internal/fleet/roster/roster_test.go
@@ -51,6 +51,7 @@
 	assert.Equal(t, *count, 1)
 }
 
+// Each case is a sequence of announcements and the number of usable servers after it.
 func TestUsable(t *testing.T) {
 	type received struct {
 		at, age     time.Duration
--- a/internal/fleet/slots/slots.go
+++ b/internal/fleet/slots/slots.go
@@ -61,8 +61,8 @@
 // Share returns the number of a backend server's slots that this entry may use.
 func (d Divider) Share(server string, slots uint32, now time.Time) int {
 	share := 0
-	for slot := range slots {
-		if d.owns(server, slot, now) {
+	for s := range slots {
+		if d.owns(server, s, now) {
 			share++
 		}
 	}
--- a/internal/fleet/slots/slots_test.go
+++ b/internal/fleet/slots/slots_test.go
@@ -58,10 +58,10 @@
 
 func assertWithin(t rapid.TB, dividers map[string]slots.Divider, now time.Time) {
 	t.Helper()
-	for server := range 4 {
+	for s := range 4 {
 		total := 0
 		for _, d := range dividers {
-			total += d.Share(fmt.Sprint(server), 8, now)
+			total += d.Share(fmt.Sprint(s), 8, now)
 		}
 		assert.Assert(t, total <= 8, "%d slots used of 8", total)
 	}
@@ -77,8 +77,8 @@
 	for _, id := range ids {
 		d := slots.Divider{}.WithEntries(id, ids, now, 0)
 		sum := 0
-		for server := range 65 {
-			sum += d.Share(fmt.Sprint("server-", server), 8, now)
+		for s := range 65 {
+			sum += d.Share(fmt.Sprint("server-", s), 8, now)
 		}
 		assert.Assert(t, sum > 35 && sum < 85, "%s has %d of 520", id, sum)
 	}
