--- a/internal/base/admin/admin.go
+++ b/internal/base/admin/admin.go
@@ -1,3 +1,5 @@
+// This file defines Server, which serves HTTP for operators' tools, and Logger.
+
 // Package admin serves /metrics, /healthz and /readyz, and creates the logger.
 package admin
 
--- a/internal/base/admin/asyncwriter.go
+++ b/internal/base/admin/asyncwriter.go
@@ -1,4 +1,4 @@
-// This file implements AsyncWriter, through which log lines are written.
+// This file defines AsyncWriter, through which log lines are written.
 
 package admin
 
@@ -58,9 +58,9 @@
 func (w *AsyncWriter) run() {
 	defer close(w.done)
 	var batch []byte
-	for line := range w.queue {
-		batch = append(batch[:0], line...)
-		last := line == nil
+	for ln := range w.queue {
+		batch = append(batch[:0], ln...)
+		last := ln == nil
 		for !last && len(batch) < maxBatchBytes && len(w.queue) > 0 {
 			next := <-w.queue
 			batch = append(batch, next...)
--- a/internal/base/boot/boot.go
+++ b/internal/base/boot/boot.go
@@ -1,3 +1,5 @@
+// This file defines Now, which reads the boot-time clock.
+
 // Package boot reads the boot-time clock, which includes the time that the instance
 // was suspended. Go's monotonic clock excludes it, so that a process can't detect by
 // that clock that its leases expired during a suspension.
--- a/internal/base/files/files.go
+++ b/internal/base/files/files.go
@@ -1,3 +1,5 @@
+// This file defines Budget and how files are opened when descriptors are scarce.
+
 // Package files divides the file descriptors of a process between its uses.
 //
 // Connections and files share one limit. Without a division, connections to thousands
--- a/internal/base/files/files_test.go
+++ b/internal/base/files/files_test.go
@@ -1,4 +1,4 @@
-// This file tests the division of descriptors and the opening of files.
+// This file defines tests of the division of descriptors and the opening of files.
 
 package files
 
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestShare(t *testing.T) {
+func TestNewBudget(t *testing.T) {
 	cases := []struct {
 		name            string
 		setting         uint32
@@ -39,10 +39,10 @@
 	exhausted := &os.PathError{Op: "open", Path: "snapshot.new", Err: syscall.EMFILE}
 	failing := &os.PathError{Op: "open", Path: "snapshot.new", Err: syscall.EIO}
 	cases := []struct {
-		name  string
-		errs  []error // of the first attempts
-		tries int
-		want  error
+		name     string
+		errs     []error // of the first attempts
+		attempts int
+		want     error
 	}{
 		{"no error", nil, 1, nil},
 		{"temporary", []error{exhausted, exhausted}, 3, nil},
@@ -50,15 +50,15 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			tries, waits := 0, 0
+			attempts, waits := 0, 0
 			_, err := openWithRetry(func() (*os.File, error) {
-				tries++
-				if tries <= len(c.errs) {
-					return nil, c.errs[tries-1]
+				attempts++
+				if attempts <= len(c.errs) {
+					return nil, c.errs[attempts-1]
 				}
 				return nil, nil
 			}, func(time.Duration) {}, func(error) { waits++ })
-			assert.Equal(t, tries, c.tries)
+			assert.Equal(t, attempts, c.attempts)
 			assert.Equal(t, waits, min(len(c.errs), 1)*boolCount(c.want == nil))
 			assert.Assert(t, (err == nil) == (c.want == nil), "%v", err)
 		})
--- a/internal/base/link/link.go
+++ b/internal/base/link/link.go
@@ -1,3 +1,5 @@
+// This file defines Link, a supervised connection, and Pool, a set of links.
+
 // Package link manages gRPC connections between the system's own processes.
 //
 // A connection can stop delivering data while new ones work, for example after the loss
@@ -25,8 +27,8 @@
 const (
 	pingInterval = 500 * time.Millisecond
 	pingTimeout  = 700 * time.Millisecond
-	// maxMissedPings is the number of pings in a row after which a connection is
-	// replaced. A single one can be missed by a busy peer.
+	// maxMissedPings is the number of consecutive missed pings after which a connection
+	// is replaced. A busy peer may miss a single one.
 	maxMissedPings = 3
 	// MaxMessageBytes limits messages between the system's processes, of which
 	// snapshots are the largest.
@@ -42,8 +44,7 @@
 type Options struct {
 	// Traced adds trace spans to calls.
 	Traced bool
-	// SourceIP is the local IP address of connections; chosen by the system if
-	// empty.
+	// SourceIP is the local IP address of connections. The system chooses it if empty.
 	SourceIP string
 }
 
@@ -148,7 +149,7 @@
 	return conn, nil
 }
 
-// dial opens a TCP connection from SourceIP.
+// dial opens a TCP connection, from SourceIP if it is set.
 func (o Options) dial(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{}
 	if ip := net.ParseIP(o.SourceIP); ip != nil {
--- a/internal/base/link/server.go
+++ b/internal/base/link/server.go
@@ -1,4 +1,4 @@
-// This file implements the gRPC server side.
+// This file defines NewServer, which creates the gRPC server of a process.
 
 package link
 
--- a/internal/base/setup/check.go
+++ b/internal/base/setup/check.go
@@ -1,4 +1,4 @@
-// This file implements the parsing and validation of single values.
+// This file defines the parsing and validation of single values.
 
 package setup
 
@@ -21,38 +21,38 @@
 var NamePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,63}$`)
 
 func parse(name string, field protoreflect.FieldDescriptor, r *wire.Rule, text string) (protoreflect.Value, error) {
-	bad := &Error{Setting: name, Value: text, Allowed: describeAllowed(field, r)}
+	invalid := &Error{Setting: name, Value: text, Allowed: describeAllowed(field, r)}
 	switch field.Kind() {
 	case protoreflect.StringKind:
 		if !hasForm(r.Form, text) || (len(r.OneOf) > 0 && !slices.Contains(r.OneOf, text)) {
-			return protoreflect.Value{}, bad
+			return protoreflect.Value{}, invalid
 		}
 		return protoreflect.ValueOfString(text), nil
 	case protoreflect.Uint32Kind:
 		n, err := strconv.ParseUint(text, 10, 32)
 		if err != nil || !inRange(r, float64(n)) {
-			return protoreflect.Value{}, bad
+			return protoreflect.Value{}, invalid
 		}
 		return protoreflect.ValueOfUint32(uint32(n)), nil
 	case protoreflect.DoubleKind:
 		n, err := strconv.ParseFloat(text, 64)
 		if err != nil || !inRange(r, n) {
-			return protoreflect.Value{}, bad
+			return protoreflect.Value{}, invalid
 		}
 		return protoreflect.ValueOfFloat64(n), nil
 	case protoreflect.MessageKind:
 		d, err := time.ParseDuration(text)
 		if err != nil || !inRange(r, float64(d)/float64(time.Millisecond)) {
-			return protoreflect.Value{}, bad
+			return protoreflect.Value{}, invalid
 		}
 		return protoreflect.ValueOfMessage(durationpb.New(d).ProtoReflect()), nil
 	default:
-		return protoreflect.Value{}, bad
+		return protoreflect.Value{}, invalid
 	}
 }
 
 func inRange(r *wire.Rule, v float64) bool {
-	// False for NaN.
+	// The last comparison is false for NaN.
 	return (r.Min == nil || v >= *r.Min) && (r.Max == nil || v <= *r.Max) && v == v
 }
 
--- a/internal/base/setup/file.go
+++ b/internal/base/setup/file.go
@@ -1,4 +1,4 @@
-// This file implements the settings file.
+// This file defines the reading of the settings file.
 
 package setup
 
@@ -35,8 +35,8 @@
 			delete(named, field)
 		}
 	}
-	for field, value := range named {
-		return nil, &Error{Setting: field, Value: value, Allowed: "only known settings; this one in " + path + " isn't"}
+	for f, v := range named {
+		return nil, &Error{Setting: f, Value: v, Allowed: "only known settings; this one in " + path + " isn't"}
 	}
 	return values, nil
 }
--- a/internal/base/setup/setup.go
+++ b/internal/base/setup/setup.go
@@ -1,3 +1,5 @@
+// This file defines Binder, which loads settings.
+
 // Package setup loads a settings message from flags, environment variables and a
 // settings file, and validates the values by the rules in its schema.
 //
@@ -65,14 +67,14 @@
 func (b *Binder) add(d protoreflect.MessageDescriptor, path []protoreflect.FieldDescriptor) {
 	for i := range d.Fields().Len() {
 		field := d.Fields().Get(i)
-		at := append(append([]protoreflect.FieldDescriptor(nil), path...), field)
+		fieldPath := append(append([]protoreflect.FieldDescriptor(nil), path...), field)
 		rule, _ := proto.GetExtension(field.Options(), wire.E_Rule).(*wire.Rule)
 		if rule == nil {
-			b.add(field.Message(), at)
+			b.add(field.Message(), fieldPath)
 			continue
 		}
 		name := strings.ReplaceAll(string(field.Name()), "_", "-")
-		o := &option{path: at, rule: rule}
+		o := &option{path: fieldPath, rule: rule}
 		o.value = b.flags.String(name, "", usage(name, rule))
 		b.options[name] = o
 	}
@@ -110,12 +112,12 @@
 		return err
 	}
 	names := make([]string, 0, len(b.options))
-	for name := range b.options {
-		names = append(names, name)
+	for n := range b.options {
+		names = append(names, n)
 	}
 	sort.Strings(names)
-	for _, name := range names {
-		if err := b.load(name, b.options[name], fromFile); err != nil {
+	for _, n := range names {
+		if err := b.load(n, b.options[n], fromFile); err != nil {
 			return err
 		}
 	}
@@ -126,8 +128,8 @@
 // a misspelt one would have no effect.
 func (b *Binder) checkUnknown() error {
 	known := knownEnvVars()
-	for _, pair := range b.Environ() {
-		name, value, _ := strings.Cut(pair, "=")
+	for _, p := range b.Environ() {
+		name, value, _ := strings.Cut(p, "=")
 		if strings.HasPrefix(name, EnvPrefix) && !known[name] {
 			flag := strings.ToLower(strings.ReplaceAll(strings.TrimPrefix(name, EnvPrefix), "_", "-"))
 			return &Error{Setting: flag, Value: value, Allowed: "only known settings; this one isn't"}
@@ -161,8 +163,8 @@
 		return &Error{Setting: name, Value: "", Allowed: "a value; " + o.rule.Help}
 	}
 	target := b.message.ProtoReflect()
-	for _, step := range o.path[:len(o.path)-1] {
-		target = target.Mutable(step).Message()
+	for _, f := range o.path[:len(o.path)-1] {
+		target = target.Mutable(f).Message()
 	}
 	if field.IsList() {
 		return setList(target, name, field, o.rule, text)
@@ -196,8 +198,8 @@
 
 func setList(target protoreflect.Message, name string, field protoreflect.FieldDescriptor, r *wire.Rule, text string) error {
 	list := target.Mutable(field).List()
-	for _, part := range strings.Split(text, ",") {
-		value, err := parse(name, field, r, strings.TrimSpace(part))
+	for _, p := range strings.Split(text, ",") {
+		value, err := parse(name, field, r, strings.TrimSpace(p))
 		if err != nil {
 			return err
 		}
@@ -217,11 +219,11 @@
 // SeedAddresses returns the gRPC addresses of the control replicas named in the settings.
 func SeedAddresses(s *wire.SeedSettings) []string {
 	var seeds []string
-	for _, address := range s.GetSeedAddresses() {
-		if host, _, err := net.SplitHostPort(address); err == nil && s.SeedPort != 0 {
-			address = net.JoinHostPort(host, strconv.FormatUint(uint64(s.SeedPort), 10))
+	for _, a := range s.GetSeedAddresses() {
+		if host, _, err := net.SplitHostPort(a); err == nil && s.SeedPort != 0 {
+			a = net.JoinHostPort(host, strconv.FormatUint(uint64(s.SeedPort), 10))
 		}
-		seeds = append(seeds, address)
+		seeds = append(seeds, a)
 	}
 	return seeds
 }
--- a/internal/base/setup/setup_test.go
+++ b/internal/base/setup/setup_test.go
@@ -1,4 +1,4 @@
-// This file tests the loading and validation of settings.
+// This file defines tests of the loading and validation of settings.
 
 package setup_test
 
@@ -40,10 +40,10 @@
 func TestSettingsAreRead(t *testing.T) {
 	s, err := load(map[string]string{"SYCAMOREDECK_QUEUE_LENGTH": "7", "SYCAMOREDECK_INSTANCE_ID": "from-env"}, required...)
 	assert.NilError(t, err)
-	assert.Equal(t, s.Common.InstanceId, "e1", "a flag goes before the environment")
+	assert.Equal(t, s.Common.InstanceId, "e1", "a flag takes precedence over the environment")
 	assert.Equal(t, s.QueueLength, uint32(7))
 	assert.DeepEqual(t, s.ControlAddresses, []string{"127.0.0.1:2", "127.0.0.1:3"})
-	assert.Equal(t, s.EvidenceLimit.AsDuration(), 3*time.Second, "the fallback")
+	assert.Equal(t, s.EvidenceLimit.AsDuration(), 3*time.Second, "the default")
 	assert.Equal(t, s.RetryRatio, 0.1)
 }
 
@@ -78,16 +78,16 @@
 	})
 }
 
-// Checks the precedence of flags, variables and the file, and that unknown names in the
-// file are rejected.
+// Guards against a wrong precedence of variables and the file, and against accepting unknown
+// names in the file, which would have no effect.
 func TestSettingsFile(t *testing.T) {
 	cases := []struct {
-		name, file, says string
+		name, file, wantError string
 	}{
 		{"good", `{"InstanceId":"a","FailureDomain":"b","ListenAddress":"127.0.0.1:1","ControlAddresses":"127.0.0.1:2"}`, ""},
 		{"seeds instead", `{"InstanceId":"a","FailureDomain":"b","ListenAddress":"127.0.0.1:1","SeedAddresses":"127.0.0.1:2"}`, ""},
 		{"unknown name", `{"InstanceID":"a"}`, "InstanceID"},
-		{"cut short", `{"InstanceId":`, "JSON object"},
+		{"truncated", `{"InstanceId":`, "JSON object"},
 		{"wrong value", `{"InstanceId":"a","FailureDomain":"b","ListenAddress":"here","ControlAddresses":"127.0.0.1:2"}`, "--listen-address"},
 		{"neither addresses nor seeds", `{"InstanceId":"a","FailureDomain":"b","ListenAddress":"127.0.0.1:1"}`, "--control-addresses"},
 	}
@@ -105,8 +105,8 @@
 				return path, name == setup.FileEnvVar
 			}
 			err := b.Load()
-			if c.says != "" {
-				assert.ErrorContains(t, err, c.says)
+			if c.wantError != "" {
+				assert.ErrorContains(t, err, c.wantError)
 				return
 			}
 			assert.NilError(t, err)
--- a/internal/base/setup/watch.go
+++ b/internal/base/setup/watch.go
@@ -1,4 +1,4 @@
-// This file implements the reloading of settings.
+// This file defines the reloading of settings.
 
 package setup
 
@@ -15,8 +15,8 @@
 // came without a signal.
 const watchInterval = time.Second
 
-// Reload reads all settings into a new message of the same type and leaves the loaded
-// settings unchanged.
+// Reload reads all settings into a new message of the same type. It leaves the loaded
+// settings unchanged, so that an invalid file has no effect.
 func (b *Binder) Reload() (proto.Message, error) {
 	fresh := *b
 	fresh.message = b.message.ProtoReflect().New().Interface()
--- a/internal/base/spans/spans.go
+++ b/internal/base/spans/spans.go
@@ -1,3 +1,5 @@
+// This file defines the export of traces.
+
 // Package spans sets up OpenTelemetry tracing. Spans are exported by OTLP if an
 // endpoint is set; otherwise tracing is disabled.
 package spans
