--- a/internal/cli/cmds/call.go
+++ b/internal/cli/cmds/call.go
@@ -1,4 +1,4 @@
-// This file implements the call command.
+// This file defines the call command.
 
 package cmds
 
--- a/internal/cli/cmds/client.go
+++ b/internal/cli/cmds/client.go
@@ -1,4 +1,4 @@
-// This file implements the connection of client commands to an entry, and their output.
+// This file defines how client commands connect to an entry, and their output.
 
 package cmds
 
@@ -47,8 +47,8 @@
 		defer cancel()
 		cl := &client{settings: settings, out: p.out}
 		var err error
-		for _, address := range settings.Entry {
-			err = cl.withConn(ctx, address, func(conn *grpc.ClientConn) error { return run(ctx, cl, conn, args) })
+		for _, a := range settings.Entry {
+			err = cl.withConn(ctx, a, func(conn *grpc.ClientConn) error { return run(ctx, cl, conn, args) })
 			if !errors.Is(err, errUnreachable) {
 				return err
 			}
--- a/internal/cli/cmds/config.go
+++ b/internal/cli/cmds/config.go
@@ -1,4 +1,4 @@
-// This file implements the config commands.
+// This file defines the config commands.
 
 package cmds
 
@@ -110,8 +110,8 @@
 			return err
 		}
 		lines := diff(elements(v.Configuration), elements(wanted))
-		for _, line := range lines {
-			fmt.Fprintln(cl.out, line)
+		for _, l := range lines {
+			fmt.Fprintln(cl.out, l)
 		}
 		if len(lines) > 0 {
 			return &outcomeError{ExitFailed, fmt.Sprintf("%d elements differ from version %d", len(lines), v.Version)}
--- a/internal/cli/cmds/docs_test.go
+++ b/internal/cli/cmds/docs_test.go
@@ -1,4 +1,4 @@
-// This file defines the test that the operators' page is complete.
+// This file defines tests of the operators' page and of the configuration diff.
 
 package cmds
 
@@ -27,8 +27,8 @@
 	return string(data)
 }
 
-// Every setting of a command and every counter stands on the page, and the
-// page names no counter that isn't there.
+// Guards against settings and counters that are missing on the operators' page, and against
+// counters on the page that don't exist.
 func TestOperationsPageIsComplete(t *testing.T) {
 	page := operationsPage(t)
 	p := &program{out: os.Stdout, err: os.Stderr}
@@ -50,11 +50,11 @@
 	})
 	assert.NilError(t, err)
 	assert.Assert(t, len(known) > 20)
-	for name := range known {
-		assert.Assert(t, strings.Contains(page, name), "%s is missing", name)
+	for n := range known {
+		assert.Assert(t, strings.Contains(page, n), "%s is missing", n)
 	}
-	for _, name := range counterUsed.FindAllString(page, -1) {
-		assert.Assert(t, known[name], "%s isn't a counter", name)
+	for _, n := range counterUsed.FindAllString(page, -1) {
+		assert.Assert(t, known[n], "%s isn't a counter", n)
 	}
 }
 
--- a/internal/cli/cmds/domain.go
+++ b/internal/cli/cmds/domain.go
@@ -1,4 +1,4 @@
-// This file implements the domain commands.
+// This file defines the domain commands.
 
 package cmds
 
--- a/internal/cli/cmds/job.go
+++ b/internal/cli/cmds/job.go
@@ -1,4 +1,4 @@
-// This file implements the job commands.
+// This file defines the job commands.
 
 package cmds
 
--- a/internal/cli/cmds/operator.go
+++ b/internal/cli/cmds/operator.go
@@ -1,4 +1,4 @@
-// This file implements the control-member, backend, worker and status commands.
+// This file defines the control-member, backend, worker and status commands.
 
 package cmds
 
--- a/internal/cli/cmds/root.go
+++ b/internal/cli/cmds/root.go
@@ -1,3 +1,5 @@
+// This file defines the command tree, the exit codes and the output of errors.
+
 // Package cmds implements the command line of sycamoredeck.
 package cmds
 
@@ -147,13 +149,13 @@
 			return nil
 		}
 	}
-	for _, sub := range c.Commands() {
-		requireSubcommand(sub)
+	for _, s := range c.Commands() {
+		requireSubcommand(s)
 	}
 }
 
-// daemon returns the command of a long-running process. Run receives the settings again
-// after each SIGHUP and each change of the settings file.
+// daemon returns the command of a long-running process. After each SIGHUP and each change of
+// the settings file, run receives the reloaded settings.
 func daemon[M proto.Message](use, short string, settings M, run func(context.Context, M, *slog.Logger, <-chan M) error, p *program) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs}
 	binder := setup.Bind(settings, c.Flags())
--- a/internal/cli/cmds/work.go
+++ b/internal/cli/cmds/work.go
@@ -1,4 +1,4 @@
-// This file implements the work and catalog commands.
+// This file defines the work and catalog commands.
 
 package cmds
 
@@ -123,7 +123,7 @@
 	fmt.Fprintf(w, "job\t%s\n", r.Job.Id)
 	fmt.Fprintf(w, "queue\t%s\n", r.Job.Queue)
 	fmt.Fprintf(w, "state\t%s\n", strings.ToLower(strings.TrimPrefix(r.State.String(), "WORK_STATE_")))
-	for i, step := range r.Job.Spec.Steps {
+	for i, s := range r.Job.Spec.Steps {
 		done, running := 0, 0
 		for _, t := range r.Job.Tasks {
 			if int(t.Step) == i && t.Done {
@@ -132,7 +132,7 @@
 				running++
 			}
 		}
-		fmt.Fprintf(w, "step %d\t%d tasks\t%d done\t%d running\n", i, step.Count, done, running)
+		fmt.Fprintf(w, "step %d\t%d tasks\t%d done\t%d running\n", i, s.Count, done, running)
 	}
 	for _, t := range r.Job.Tasks {
 		fmt.Fprintf(w, "task %d.%d.%d\trun %d\t%d failures\t%d crashes\t%s\n", t.Occurrence, t.Step, t.Index, t.Run, t.Failures, t.Crashes, t.Agent)
