--- a/internal/front/route/service.go
+++ b/internal/front/route/service.go
@@ -108,26 +108,26 @@
 // ones get no new calls, and their calls in flight run to completion.
 func (s *Service) Update(usable []*wire.Announcement) {
 	s.mu.Lock()
-	known := map[string]*Backend{}
+	previous := map[string]*Backend{}
 	for _, b := range s.backends {
-		known[b.key()] = b
+		previous[b.key()] = b
 	}
 	s.backends = s.backends[:0:0]
 	for _, a := range usable {
-		b := known[backendKey(a)]
+		b := previous[backendKey(a)]
 		if b == nil {
 			b = newBackend(a)
 		}
-		delete(known, b.key())
+		delete(previous, b.key())
 		s.backends = append(s.backends, b)
 	}
-	for _, b := range known {
+	for _, b := range previous {
 		b.removed = true
 	}
 	s.resize()
 	granted := s.grantQueued()
 	s.mu.Unlock()
-	for _, b := range known {
+	for _, b := range previous {
 		b.close()
 	}
 	granted.deliver()
--- a/internal/front/uplink/leader.go
+++ b/internal/front/uplink/leader.go
@@ -76,16 +76,16 @@
 		var zero R
 		return zero, err
 	}
-	limited, cancel := context.WithTimeout(ctx, attemptTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	go func() {
 		select {
 		case <-changed:
 			cancel()
-		case <-limited.Done():
+		case <-callCtx.Done():
 		}
 	}()
-	return method(limited, conn, request)
+	return method(callCtx, conn, request)
 }
 
 func retriable(err error) bool {
--- a/internal/front/uplink/uplink.go
+++ b/internal/front/uplink/uplink.go
@@ -171,9 +171,9 @@
 		FailureDomain: u.options.Self.FailureDomain, ConfigurationVersion: u.configurationVersion(),
 	}
 	known := u.lastResponse(address)
-	limited, cancel := context.WithTimeout(ctx, helloTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
-	response, err := wire.NewControlServiceClient(conn).Hello(limited, &wire.HelloRequest{
+	response, err := wire.NewControlServiceClient(conn).Hello(callCtx, &wire.HelloRequest{
 		Entry: self, KnownLeader: known.GetLeaderAddress(), KnownTerm: known.GetTerm(),
 		KnownEntries: known.GetEntriesDigest(), KnownDrains: u.knownDrainRevision(),
 	})
