--- a/internal/base/setup/watch.go
+++ b/internal/base/setup/watch.go
@@ -18,12 +18,12 @@
 // Reload reads all settings into a new message of the same type. It leaves the loaded
 // settings unchanged, so that an invalid file has no effect.
 func (b *Binder) Reload() (proto.Message, error) {
-	fresh := *b
-	fresh.message = b.message.ProtoReflect().New().Interface()
-	if err := fresh.Load(); err != nil {
+	reloaded := *b
+	reloaded.message = b.message.ProtoReflect().New().Interface()
+	if err := reloaded.Load(); err != nil {
 		return nil, err
 	}
-	return fresh.message, nil
+	return reloaded.message, nil
 }
 
 // Watch calls changed after each signal and after each change of the settings file, until
