--- a/internal/cli/cmds/config.go
+++ b/internal/cli/cmds/config.go
@@ -101,7 +101,7 @@
 func (p *program) configDiff() *cobra.Command {
 	c := &cobra.Command{Use: "diff FILE", Short: "Show what applying a file would change; exit code 1 if anything", Args: cobra.ExactArgs(1)}
 	return p.clientCommand(c, func(ctx context.Context, cl *client, conn *grpc.ClientConn, args []string) error {
-		wanted, err := readConfiguration(args[0])
+		desired, err := readConfiguration(args[0])
 		if err != nil {
 			return err
 		}
@@ -109,7 +109,7 @@
 		if err != nil {
 			return err
 		}
-		lines := diff(elements(v.Configuration), elements(wanted))
+		lines := diff(elements(v.Configuration), elements(desired))
 		for _, l := range lines {
 			fmt.Fprintln(cl.out, l)
 		}
--- a/internal/cli/cmds/job.go
+++ b/internal/cli/cmds/job.go
@@ -111,11 +111,11 @@
 	c.Flags().StringVar(&after, "after", "", "only those submitted after this job")
 	c.Flags().Uint32Var(&limit, "limit", 100, "at most this many")
 	return p.clientCommand(c, func(ctx context.Context, cl *client, conn *grpc.ClientConn, _ []string) error {
-		wanted, err := parseState(state)
+		jobState, err := parseState(state)
 		if err != nil {
 			return err
 		}
-		r, err := wire.NewJobServiceClient(conn).List(ctx, &wire.ListRequest{ClientAccount: account, State: wanted, Limit: limit, AfterJobId: after})
+		r, err := wire.NewJobServiceClient(conn).List(ctx, &wire.ListRequest{ClientAccount: account, State: jobState, Limit: limit, AfterJobId: after})
 		if err != nil {
 			return err
 		}
--- a/internal/cli/cmds/root.go
+++ b/internal/cli/cmds/root.go
@@ -183,14 +183,14 @@
 
 // reload loads the settings again. On an error the previous settings remain in force.
 func reload[M proto.Message](binder *setup.Binder, logger *slog.Logger, reloads chan M) {
-	fresh, err := binder.Reload()
+	settings, err := binder.Reload()
 	if err != nil {
 		logger.Error("settings reload failed, previous settings remain in force", "error", err)
 		return
 	}
 	logger.Info("settings reloaded")
 	select {
-	case reloads <- fresh.(M):
+	case reloads <- settings.(M):
 	default:
 		logger.Warn("settings change dropped, previous one not yet applied")
 	}
