--- a/internal/model/caller/caller.go
+++ b/internal/model/caller/caller.go
@@ -27,7 +27,8 @@
 const (
 	maxLatencyMicros  = int64(10 * time.Minute / time.Microsecond)
 	significantDigits = 3
-	// maxReasons limits the number of distinct reasons in a report.
+	// maxReasons limits the number of distinct reasons in a report. Once it is reached, no
+	// more reasons are counted.
 	maxReasons = 20
 	// exactPacingRate is the rate in requests per second from which requests are sent at
 	// their exact time by busy waiting.
@@ -197,7 +198,7 @@
 			return nil, err
 		}
 		response, err := wire.NewCallerServiceClient(conn).Call(ctx, request)
-		// Idempotent requests that fail with their entry are sent to another one.
+		// An idempotent request whose entry failed is sent again to any ready entry.
 		if status.Code(err) == codes.Unavailable && idempotent && ctx.Err() == nil {
 			time.Sleep(10 * time.Millisecond)
 			continue
@@ -227,7 +228,7 @@
 func (r *run) recordError(err error, idempotent bool) {
 	r.update(func(s *Report) {
 		if !idempotent && status.Code(err) == codes.Unavailable {
-			s.Unknown++ // the entry failed, and the outcome is known to its record only
+			s.Unknown++ // the entry failed before it returned the outcome
 			return
 		}
 		s.Failed++
--- a/internal/model/front/balancer.go
+++ b/internal/model/front/balancer.go
@@ -48,9 +48,9 @@
 			cancel()
 			return nil, err
 		}
-		t := &entry{address: a, conn: conn}
-		b.entries = append(b.entries, t)
-		go b.checkHealth(ctx, t)
+		e := &entry{address: a, conn: conn}
+		b.entries = append(b.entries, e)
+		go b.checkHealth(ctx, e)
 	}
 	return b, nil
 }
@@ -67,17 +67,17 @@
 
 // checkHealth checks one entry periodically, and replaces its connection after a check
 // that timed out.
-func (b *Balancer) checkHealth(ctx context.Context, t *entry) {
+func (b *Balancer) checkHealth(ctx context.Context, e *entry) {
 	for ctx.Err() == nil {
 		limited, cancel := context.WithTimeout(ctx, checkTimeout)
-		r, err := healthpb.NewHealthClient(b.connTo(t)).Check(limited, &healthpb.HealthCheckRequest{Service: link.ReadyService})
+		r, err := healthpb.NewHealthClient(b.connTo(e)).Check(limited, &healthpb.HealthCheckRequest{Service: link.ReadyService})
 		timedOut := limited.Err() != nil
 		cancel()
 		b.mu.Lock()
-		t.ready = err == nil && r.Status == healthpb.HealthCheckResponse_SERVING
+		e.ready = err == nil && r.Status == healthpb.HealthCheckResponse_SERVING
 		b.mu.Unlock()
 		if timedOut && ctx.Err() == nil {
-			b.redial(t)
+			b.redial(e)
 		}
 		select {
 		case <-ctx.Done():
@@ -86,20 +86,20 @@
 	}
 }
 
-func (b *Balancer) connTo(t *entry) *grpc.ClientConn {
+func (b *Balancer) connTo(e *entry) *grpc.ClientConn {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return t.conn
+	return e.conn
 }
 
-func (b *Balancer) redial(t *entry) {
-	conn, err := dial(t.address)
+func (b *Balancer) redial(e *entry) {
+	conn, err := dial(e.address)
 	if err != nil {
 		return
 	}
 	b.mu.Lock()
-	old := t.conn
-	t.conn = conn
+	old := e.conn
+	e.conn = conn
 	b.mu.Unlock()
 	old.Close()
 }
@@ -109,9 +109,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var ready []*entry
-	for _, t := range b.entries {
-		if t.ready {
-			ready = append(ready, t)
+	for _, e := range b.entries {
+		if e.ready {
+			ready = append(ready, e)
 		}
 	}
 	if len(ready) == 0 {
@@ -140,7 +140,7 @@
 	b.cancel()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, t := range b.entries {
-		t.conn.Close()
+	for _, e := range b.entries {
+		e.conn.Close()
 	}
 }
--- a/internal/model/server/announce.go
+++ b/internal/model/server/announce.go
@@ -17,7 +17,8 @@
 const (
 	announceInterval = 500 * time.Millisecond
 	announceTimeout  = time.Second
-	// leavePollInterval is the delay at most before leaving is announced.
+	// leavePollInterval is the maximum delay before leaving is announced, and the pause
+	// between two streams.
 	leavePollInterval = 20 * time.Millisecond
 )
 
@@ -77,7 +78,8 @@
 	}
 }
 
-// waitNextAnnouncement waits until the next announcement is due, or the server leaves.
+// waitNextAnnouncement waits until the next announcement is due, which is immediately
+// once the server leaves.
 func (s *Server) waitNextAnnouncement(ctx context.Context, leaving bool) {
 	until := time.Now().Add(announceInterval)
 	for time.Now().Before(until) && ctx.Err() == nil && s.leaving.Load() == leaving {
--- a/internal/model/server/server.go
+++ b/internal/model/server/server.go
@@ -184,13 +184,14 @@
 	return append(answer, id...)
 }
 
-func (s *Server) draw(part float64) bool {
-	if part <= 0 {
+// draw returns true with the given probability.
+func (s *Server) draw(probability float64) bool {
+	if probability <= 0 {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.random.Float64() < part
+	return s.random.Float64() < probability
 }
 
 func (s *Server) serviceTime() time.Duration {
--- a/internal/model/shell/shell.go
+++ b/internal/model/shell/shell.go
@@ -35,7 +35,7 @@
 	maxServers  = 200
 )
 
-var errNotLoopback = errors.New("only loopback addresses may be loaded")
+var errNotLoopback = errors.New("only loopback addresses are allowed")
 
 // Main executes a command line and returns the exit code.
 func Main(args []string, out, errOut io.Writer) int {
