--- a/internal/itest/drain_test.go
+++ b/internal/itest/drain_test.go
@@ -55,7 +55,7 @@
 		c.restart(name)
 	}
 	c.leader()
-	assertOnlyWest("all-started-anew")
+	assertOnlyWest("all-restarted")
 	assert.DeepEqual(t, c.status().DrainedDomains, []string{"east"})
 	c.drain("entry-1", "east", true)
 	c.waitUsable(2)
--- a/internal/itest/proxy_test.go
+++ b/internal/itest/proxy_test.go
@@ -91,7 +91,7 @@
 			}
 		}
 		if err != nil {
-			m.waitUnblocked(p) // so is closing
+			m.waitUnblocked(p) // closing is blocked as well
 			return
 		}
 	}
--- a/internal/itest/request_test.go
+++ b/internal/itest/request_test.go
@@ -93,6 +93,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, r.Outcome, wire.Outcome_OUTCOME_COMPLETED, r.Reason)
 	})
+	// The outcome that was returned without reading the record must not be cached.
 	t.Run("the reason names the entry that sent it first", func(t *testing.T) {
 		r, err := c.send("entry-1", &wire.CallRequest{RequestId: "once-1", Resend: true})
 		assert.NilError(t, err)
@@ -157,8 +158,8 @@
 	return s
 }
 
-// Guards against new requests to a leaving backend server, which announced it to one entry
-// only, under several faults.
+// Guards against new requests to a leaving backend server, which announces that it leaves to
+// one entry at a time: the others must learn it under each of the faults.
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -236,8 +237,8 @@
 	assert.Equal(t, s.Refused, int64(0))
 }
 
-// Guards against waiting forever on connections that were blackholed, of any kind. Jobs that
-// are refused during the following election are submitted again.
+// Guards against waiting forever on blackholed connections of any kind. Jobs that are
+// refused during the following election are submitted again.
 func TestBlackholedConnectionsAreReplaced(t *testing.T) {
 	c := newCluster(t, 3, 2)
 	c.configure()
