--- a/internal/itest/cluster_test.go
+++ b/internal/itest/cluster_test.go
@@ -370,13 +370,13 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		r, err := wire.NewOperatorServiceClient(c.connTo(c.entries[0])).ListWorkers(ctx, &wire.ListWorkersRequest{})
-		attending := 0
+		connected := 0
 		for _, w := range r.GetWorkers() {
 			if w.Attending {
-				attending++
+				connected++
 			}
 		}
-		return err == nil && attending == count
+		return err == nil && connected == count
 	})
 }
 
--- a/internal/itest/request_test.go
+++ b/internal/itest/request_test.go
@@ -168,7 +168,7 @@
 		{"no fault", func(*cluster) {}},
 		{"no control leader", func(c *cluster) { c.kill("control-0"); c.kill("control-1") }},
 		{"an entry is cut off from the others", func(c *cluster) { c.mesh.isolate("entry-0", "entry-1", "entry-2") }},
-		{"an entry dies", func(c *cluster) { c.kill("entry-0") }},
+		{"an entry is killed", func(c *cluster) { c.kill("entry-0") }},
 	}
 	for _, k := range cases {
 		t.Run(k.name, func(t *testing.T) {
