--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -16,14 +16,14 @@
 await cli config apply examples/configuration.json --operation-id capacity
 ticks() { local t=0; for p in "$@"; do t=$((t + $(awk '{print $14+$15}' "/proc/$p/stat"))); done; echo $t; }
 kib() { awk '/VmRSS/ {print $2}' "/proc/$1/status"; }
-attending() { [ "$(cli worker list | grep -c true)" = "$1" ]; }
+connected() { [ "$(cli worker list | grep -c true)" = "$1" ]; }
 seconds=10
 have=0
 for n in "${counts[@]}"; do
   if [ "$n" -gt "$have" ]; then
     start "workers_$n" "$bin/standin" worker --id "w$n" --count $((n - have)) --entries "$entries" --report-interval 1s
     have=$n
-    await attending "$n"
+    await connected "$n"
     sleep 3
   fi
   leader=$(cli status | awk '/^leader/ {sub(",", "", $2); print $2}')
