--- a/internal/front/desk/desk.go
+++ b/internal/front/proxy/leader.go
@@ -1,11 +1,11 @@
-// This file defines Desk, which passes WorkService calls to the leader.
+// This file defines Leader, which forwards WorkService calls to the leader.
 
-// Package desk passes calls about jobs of steps, catalogs, failure domains and agent
+// Package proxy forwards calls about jobs of steps, catalogs, failure domains and agent
 // reports from any process to the leader.
 //
 // An error with code Unavailable means that the call wasn't executed. After Aborted,
 // DeadlineExceeded or Canceled it may have been.
-package desk
+package proxy
 
 import (
 	"context"
@@ -19,8 +19,8 @@
 	// Conn is a connection to a control replica.
 	Conn = grpc.ClientConnInterface
 
-	// Desk has a function for each method of WorkService.
-	Desk struct {
+	// Leader forwards calls to the leader. It has a function for each method of WorkService.
+	Leader struct {
 		Submit     func(context.Context, *wire.SubmitWorkRequest) (*wire.SubmitWorkResponse, error)
 		Inspect    func(context.Context, *wire.InspectWorkRequest) (*wire.InspectWorkResponse, error)
 		Cancel     func(context.Context, *wire.CancelWorkRequest) (*wire.CancelWorkResponse, error)
@@ -32,18 +32,18 @@
 	}
 )
 
-// Local returns a Desk that calls a service in this process.
-func Local(s wire.WorkServiceServer) Desk {
-	return Desk{
+// Local returns a Leader that calls a service in this process.
+func Local(s wire.WorkServiceServer) Leader {
+	return Leader{
 		Submit: s.SubmitWork, Inspect: s.InspectWork, Cancel: s.CancelWork,
 		PutCatalog: s.PutCatalog, GetCatalog: s.GetCatalog, Report: s.ReportAgent,
 		Drain: s.DrainDomain, Domains: s.ListDomains,
 	}
 }
 
-// Remote returns a Desk that calls the replica to which dial connects.
-func Remote(dial func() (Conn, error)) Desk {
-	return Desk{
+// Remote returns a Leader that calls the replica to which dial connects.
+func Remote(dial func() (Conn, error)) Leader {
+	return Leader{
 		Submit:     remoteCall(dial, wire.WorkServiceClient.SubmitWork),
 		Inspect:    remoteCall(dial, wire.WorkServiceClient.InspectWork),
 		Cancel:     remoteCall(dial, wire.WorkServiceClient.CancelWork),
@@ -67,9 +67,9 @@
 	}
 }
 
-// Choose returns a Desk that uses first while useFirst returns true, and second otherwise.
-func Choose(useFirst func() bool, first, second Desk) Desk {
-	return Desk{
+// Choose returns a Leader that uses first while useFirst returns true, and second otherwise.
+func Choose(useFirst func() bool, first, second Leader) Leader {
+	return Leader{
 		Submit:     chooseCall(useFirst, first.Submit, second.Submit),
 		Inspect:    chooseCall(useFirst, first.Inspect, second.Inspect),
 		Cancel:     chooseCall(useFirst, first.Cancel, second.Cancel),
@@ -90,10 +90,10 @@
 	}
 }
 
-// Over returns a Desk that makes each call through retry, which may repeat it. All calls
+// WithRetry returns a Leader that makes each call through retry, which may repeat it. All calls
 // are idempotent.
-func Over(retry func(ctx context.Context, once func(context.Context, Conn) error) error) Desk {
-	return Desk{
+func WithRetry(retry func(ctx context.Context, once func(context.Context, Conn) error) error) Leader {
+	return Leader{
 		Submit:     retriedCall(retry, wire.WorkServiceClient.SubmitWork),
 		Inspect:    retriedCall(retry, wire.WorkServiceClient.InspectWork),
 		Cancel:     retriedCall(retry, wire.WorkServiceClient.CancelWork),
--- a/internal/run/ctrl/report.go
+++ b/internal/run/ctrl/report.go
@@ -10,26 +10,26 @@
 	"google.golang.org/grpc/status"
 
 	"sycamoredeck.example/internal/base/boot"
-	"sycamoredeck.example/internal/front/desk"
+	"sycamoredeck.example/internal/front/proxy"
 	"sycamoredeck.example/internal/sched/drive"
 	"sycamoredeck.example/internal/schema/wire"
 	"sycamoredeck.example/internal/store/node"
 )
 
-// desk returns a Desk that handles calls locally while this replica is the leader, and
+// leaderProxy returns a proxy that handles calls locally while this replica is the leader, and
 // forwards them to the leader otherwise.
-func (c *Control) desk() desk.Desk {
+func (c *Control) leaderProxy() proxy.Leader {
 	local := &workService{Control: c}
-	remote := desk.Remote(func() (desk.Conn, error) {
+	remote := proxy.Remote(func() (proxy.Conn, error) {
 		leader := c.view.Load().leader
 		if leader == "" || leader == c.self.Address {
 			return nil, status.Error(codes.Unavailable, notExecuted+"no control leader is known")
 		}
 		return c.pool.Conn(leader)
 	})
-	d := desk.Choose(func() bool { return c.view.Load().isLeader }, desk.Local(local), remote)
-	report := d.Report
-	d.Report = func(ctx context.Context, r *wire.ReportAgentRequest) (*wire.ReportAgentResponse, error) {
+	p := proxy.Choose(func() bool { return c.view.Load().isLeader }, proxy.Local(local), remote)
+	report := p.Report
+	p.Report = func(ctx context.Context, r *wire.ReportAgentRequest) (*wire.ReportAgentResponse, error) {
 		if c.isRedundant(ctx, r) {
 			return c.reportResponse(), nil
 		}
@@ -38,7 +38,7 @@
 		}
 		return c.reportResponse(), nil
 	}
-	return d
+	return p
 }
 
 // reportResponse returns the response to an accepted heartbeat. It directs the agent's next
--- a/internal/run/ctrl/work.go
+++ b/internal/run/ctrl/work.go
@@ -16,7 +16,7 @@
 
 	"sycamoredeck.example/internal/base/boot"
 	"sycamoredeck.example/internal/base/files"
-	"sycamoredeck.example/internal/front/desk"
+	"sycamoredeck.example/internal/front/proxy"
 	"sycamoredeck.example/internal/sched/drive"
 	"sycamoredeck.example/internal/schema/wire"
 	"sycamoredeck.example/internal/store/graph"
@@ -41,7 +41,7 @@
 		// call has its own goroutine.
 		Advise func(context.Context, string, drive.AdviceRequest) drive.AdviceAnswer
 		// Serve starts serving operators and agents.
-		Serve func(*wire.ControlSettings, files.Budget, desk.Desk) (stop func(), err error)
+		Serve func(*wire.ControlSettings, files.Budget, proxy.Leader) (stop func(), err error)
 	}
 
 	workService struct {
@@ -140,7 +140,7 @@
 	}
 	budget := files.NewBudget(c.settings.MaxOpenFiles)
 	c.logger.Info("descriptors shared out", "limit", budget.Limit, "agents", budget.Agents, "callers", budget.Callers)
-	return c.platform.Serve(c.settings, budget, c.desk())
+	return c.platform.Serve(c.settings, budget, c.leaderProxy())
 }
 
 // checkReady returns an error unless this replica may acknowledge requests.
--- a/internal/run/entry/entry.go
+++ b/internal/run/entry/entry.go
@@ -25,8 +25,8 @@
 	"sycamoredeck.example/internal/fleet/roster"
 	"sycamoredeck.example/internal/fleet/slots"
 	"sycamoredeck.example/internal/front/calls"
-	"sycamoredeck.example/internal/front/desk"
 	"sycamoredeck.example/internal/front/fence"
+	"sycamoredeck.example/internal/front/proxy"
 	"sycamoredeck.example/internal/front/relay"
 	"sycamoredeck.example/internal/front/route"
 	"sycamoredeck.example/internal/front/uplink"
@@ -47,9 +47,9 @@
 // Platform connects an entry with clients that don't speak its gRPC interface.
 // The zero value connects with none.
 type Platform struct {
-	// Serve starts serving clients through a Desk, and reports to the platform's load
+	// Serve starts serving clients through a leader proxy, and reports to the platform's load
 	// balancer whether the entry is ready. The returned stop waits for calls in flight.
-	Serve func(s *wire.EntrySettings, d desk.Desk, ready func() bool) (stop func(), err error)
+	Serve func(s *wire.EntrySettings, leader proxy.Leader, ready func() bool) (stop func(), err error)
 }
 
 // Entry is a running entry process.
@@ -91,7 +91,7 @@
 	}
 	stopPlatform := func() {}
 	if platform.Serve != nil {
-		if stopPlatform, err = platform.Serve(settings, e.desk(), e.admin.Ready); err != nil {
+		if stopPlatform, err = platform.Serve(settings, e.leaderProxy(), e.admin.Ready); err != nil {
 			return err
 		}
 	}
@@ -155,7 +155,7 @@
 	wire.RegisterEntryServiceServer(e.server, &entryService{Entry: e})
 	wire.RegisterJobServiceServer(e.server, &jobService{Entry: e})
 	wire.RegisterOperatorServiceServer(e.server, &operatorService{Entry: e})
-	wire.RegisterWorkServiceServer(e.server, &workService{desk: e.desk()})
+	wire.RegisterWorkServiceServer(e.server, &workService{leader: e.leaderProxy()})
 }
 
 // entriesChanged divides the slots among the new list of entries. sweep recomputes them once
--- a/internal/run/entry/work.go
+++ b/internal/run/entry/work.go
@@ -10,7 +10,7 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/status"
 
-	"sycamoredeck.example/internal/front/desk"
+	"sycamoredeck.example/internal/front/proxy"
 	"sycamoredeck.example/internal/front/uplink"
 	"sycamoredeck.example/internal/schema/wire"
 )
@@ -24,69 +24,69 @@
 // workService implements WorkService for gRPC clients.
 type workService struct {
 	wire.UnimplementedWorkServiceServer
-	desk desk.Desk
+	leader proxy.Leader
 }
 
 var _ wire.WorkServiceServer = (*workService)(nil)
 
 // SubmitWork forwards the call to the leader.
 func (s *workService) SubmitWork(ctx context.Context, r *wire.SubmitWorkRequest) (*wire.SubmitWorkResponse, error) {
-	return s.desk.Submit(ctx, r)
+	return s.leader.Submit(ctx, r)
 }
 
 // InspectWork forwards the call to the leader.
 func (s *workService) InspectWork(ctx context.Context, r *wire.InspectWorkRequest) (*wire.InspectWorkResponse, error) {
-	return s.desk.Inspect(ctx, r)
+	return s.leader.Inspect(ctx, r)
 }
 
 // CancelWork forwards the call to the leader.
 func (s *workService) CancelWork(ctx context.Context, r *wire.CancelWorkRequest) (*wire.CancelWorkResponse, error) {
-	return s.desk.Cancel(ctx, r)
+	return s.leader.Cancel(ctx, r)
 }
 
 // PutCatalog forwards the call to the leader.
 func (s *workService) PutCatalog(ctx context.Context, r *wire.PutCatalogRequest) (*wire.PutCatalogResponse, error) {
-	return s.desk.PutCatalog(ctx, r)
+	return s.leader.PutCatalog(ctx, r)
 }
 
 // GetCatalog forwards the call to the leader.
 func (s *workService) GetCatalog(ctx context.Context, r *wire.GetCatalogRequest) (*wire.GetCatalogResponse, error) {
-	return s.desk.GetCatalog(ctx, r)
+	return s.leader.GetCatalog(ctx, r)
 }
 
 // DrainDomain forwards the call to the leader.
 func (s *workService) DrainDomain(ctx context.Context, r *wire.DrainDomainRequest) (*wire.DrainDomainResponse, error) {
-	return s.desk.Drain(ctx, r)
+	return s.leader.Drain(ctx, r)
 }
 
 // ListDomains forwards the call to the leader.
 func (s *workService) ListDomains(ctx context.Context, r *wire.ListDomainsRequest) (*wire.ListDomainsResponse, error) {
-	return s.desk.Domains(ctx, r)
+	return s.leader.Domains(ctx, r)
 }
 
-// desk returns a Desk that calls the leader across leader changes. It logs each submission
-// and cancellation, and each inspection that isn't answered.
-func (e *Entry) desk() desk.Desk {
-	d := desk.Over(func(ctx context.Context, once func(context.Context, desk.Conn) error) error {
+// leaderProxy returns a proxy that calls the leader across leader changes. It logs each
+// submission and cancellation, and each inspection that isn't answered.
+func (e *Entry) leaderProxy() proxy.Leader {
+	p := proxy.WithRetry(func(ctx context.Context, once func(context.Context, proxy.Conn) error) error {
 		_, err := uplink.CallLeader(ctx, e.uplink, struct{}{}, func(ctx context.Context, conn *grpc.ClientConn, _ struct{}) (struct{}, error) {
 			return struct{}{}, once(ctx, conn)
 		})
 		return err
 	})
-	submit, inspect, cancel := d.Submit, d.Inspect, d.Cancel
-	d.Submit = func(ctx context.Context, r *wire.SubmitWorkRequest) (*wire.SubmitWorkResponse, error) {
+	submit, inspect, cancel := p.Submit, p.Inspect, p.Cancel
+	p.Submit = func(ctx context.Context, r *wire.SubmitWorkRequest) (*wire.SubmitWorkResponse, error) {
 		startedAt := e.clock.Now()
 		response, err := submit(ctx, r)
 		e.recordWork("submit", r.Target, response.GetAnswer(), startedAt, err)
 		return response, err
 	}
-	d.Cancel = func(ctx context.Context, r *wire.CancelWorkRequest) (*wire.CancelWorkResponse, error) {
+	p.Cancel = func(ctx context.Context, r *wire.CancelWorkRequest) (*wire.CancelWorkResponse, error) {
 		startedAt := e.clock.Now()
 		response, err := cancel(ctx, r)
 		e.recordWork("cancel", r.Target, response.GetAnswer(), startedAt, err)
 		return response, err
 	}
-	d.Inspect = func(ctx context.Context, r *wire.InspectWorkRequest) (*wire.InspectWorkResponse, error) {
+	p.Inspect = func(ctx context.Context, r *wire.InspectWorkRequest) (*wire.InspectWorkResponse, error) {
 		startedAt := e.clock.Now()
 		response, err := inspect(ctx, r)
 		if err != nil {
@@ -94,7 +94,7 @@
 		}
 		return response, err
 	}
-	return d
+	return p
 }
 
 // recordWork records the metrics and the log line of a request.
