--- a/internal/sched/drive/agent.go
+++ b/internal/sched/drive/agent.go
@@ -221,16 +221,16 @@
 // name. Its answer proves that they, and all of their runs, have ended. It drops the given
 // one instead if a later process of the agent has answered before.
 func (e *Engine) dropPredecessors(a *agent) {
-	for _, other := range e.agentsByID() {
-		if other != a && other.synced && a.precedes(other) {
+	for _, o := range e.agentsByID() {
+		if o != a && o.synced && a.precedes(o) {
 			// The answer was in flight while the successor's arrived.
 			e.dropAgent(a, superseded, "a later incarnation has answered")
 			return
 		}
 	}
-	for _, other := range e.agentsByID() {
-		if other != a && (other.record.Address == a.record.Address || other.precedes(a)) {
-			e.dropAgent(other, superseded, "another incarnation answered at its address")
+	for _, o := range e.agentsByID() {
+		if o != a && (o.record.Address == a.record.Address || o.precedes(a)) {
+			e.dropAgent(o, superseded, "another incarnation answered at its address")
 		}
 	}
 }
--- a/internal/sched/drive/bench_test.go
+++ b/internal/sched/drive/bench_test.go
@@ -28,9 +28,9 @@
 }
 
 func BenchmarkTick(b *testing.B) {
-	for _, agents := range []int{48, 490, 1800, 6900} {
-		b.Run(fmt.Sprintf("agents=%d", agents), func(b *testing.B) {
-			s := newLoadedSim(agents)
+	for _, n := range []int{48, 490, 1800, 6900} {
+		b.Run(fmt.Sprintf("agents=%d", n), func(b *testing.B) {
+			s := newLoadedSim(n)
 			waiting := len(s.graph.SortedReadyStages())
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/sched/drive/completions.go
+++ b/internal/sched/drive/completions.go
@@ -70,8 +70,8 @@
 // commitEnds adds run ends to the batch that is proposed at the next tick. One log entry
 // per run would be encoded and synced separately on every replica.
 func (e *Engine) commitEnds(ends []*wire.RunEnd, done func(ok bool)) {
-	for _, end := range ends {
-		countEnd(end.Outcome)
+	for _, re := range ends {
+		countEnd(re.Outcome)
 	}
 	e.pendingEnds.ends = append(e.pendingEnds.ends, ends...)
 	e.pendingEnds.done = append(e.pendingEnds.done, done)
@@ -90,16 +90,16 @@
 			e.removeEndedRuns(batch.ends)
 		}
 		e.markAgentsChanged(batch.ends)
-		for _, done := range batch.done {
-			done(err == nil)
+		for _, f := range batch.done {
+			f(err == nil)
 		}
 	})
 }
 
 // markAgentsChanged marks the agents of the given ends as changed.
 func (e *Engine) markAgentsChanged(ends []*wire.RunEnd) {
-	for _, end := range ends {
-		if a := e.agents[end.Agent]; a != nil {
+	for _, re := range ends {
+		if a := e.agents[re.Agent]; a != nil {
 			a.markChanged()
 		}
 	}
@@ -108,12 +108,12 @@
 // formatEnds lists ends for logs, each as TASK#RUN@AGENT=OUTCOME.
 func formatEnds(ends []*wire.RunEnd) string {
 	var text strings.Builder
-	for i, end := range ends {
+	for i, re := range ends {
 		if i > 0 {
 			text.WriteByte(' ')
 		}
-		fmt.Fprintf(&text, "%s.%d.%d.%d#%d@%s=%s", end.Id.Job, end.Id.Occurrence, end.Id.Step, end.Id.Index, end.Id.Run, end.Agent,
-			outcomeNames[end.Outcome])
+		fmt.Fprintf(&text, "%s.%d.%d.%d#%d@%s=%s", re.Id.Job, re.Id.Occurrence, re.Id.Step, re.Id.Index, re.Id.Run, re.Agent,
+			outcomeNames[re.Outcome])
 	}
 	return text.String()
 }
--- a/internal/sched/drive/crash_test.go
+++ b/internal/sched/drive/crash_test.go
@@ -64,12 +64,12 @@
 	for seed := range uint64(20) {
 		s := newSim(seed, 8, true, faults{})
 		s.run(2*time.Second, 0)
-		for second := range 30 {
+		for i := range 30 {
 			for range 4 {
 				length := uint64(500 + s.random.IntN(4000))
 				s.submitJob(&wire.Step{Count: uint32(1 + s.random.IntN(11)), CpuMillis: 700, EstimateMs: length})
 			}
-			if second%3 == 0 {
+			if i%3 == 0 {
 				s.crashingJobs[jobID(len(s.jobs)+1)] = simTick
 				s.submitJob(&wire.Step{Count: 1, CpuMillis: 700, EstimateMs: 2500})
 			}
@@ -149,8 +149,8 @@
 	s.submitJob(&wire.Step{Count: 1, CpuMillis: 1000, EstimateMs: 500, Standing: true})
 	for range 10 {
 		s.run(15*time.Second, 0)
-		for _, address := range sortedKeys(s.agents) {
-			if agent := s.agents[address]; len(agent.runs) > 0 {
+		for _, a := range sortedKeys(s.agents) {
+			if agent := s.agents[a]; len(agent.runs) > 0 {
 				s.crashByRun(agent)
 			}
 		}
@@ -211,8 +211,8 @@
 			s.submitJob(&wire.Step{Count: 1, CpuMillis: 1000, EstimateMs: 60000})
 			for range 6 {
 				s.run(500*time.Millisecond, 0)
-				for _, address := range sortedKeys(s.agents) {
-					if agent := s.agents[address]; agent != nil && len(agent.runs) > 0 {
+				for _, a := range sortedKeys(s.agents) {
+					if agent := s.agents[a]; agent != nil && len(agent.runs) > 0 {
 						c.lose(s, agent)
 					}
 				}
--- a/internal/sched/drive/determinism_test.go
+++ b/internal/sched/drive/determinism_test.go
@@ -17,12 +17,12 @@
 // Guards against decisions that depend on map iteration order, which would make simulation runs
 // impossible to reproduce.
 func TestDecisionsAreDeterministic(t *testing.T) {
-	for seed := range uint64(4) {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+	for i := range uint64(4) {
+		t.Run(fmt.Sprint("seed ", i), func(t *testing.T) {
 			t.Parallel()
-			first := decisionLog(seed)
+			first := decisionLog(i)
 			for range 3 {
-				assert.Equal(t, decisionLog(seed), first)
+				assert.Equal(t, decisionLog(i), first)
 			}
 		})
 	}
@@ -33,8 +33,8 @@
 	s := newSim(seed, 6, true, faults{leaderChange: 0.0005, late: 0.02, lost: 0.02, crash: 0.001, leave: 0.0005, cancel: 0.002, failedRun: 0.02})
 	s.tailLatencyOf = func(agent *modelAgent, run *modelRun) int {
 		tail := 0.8 * float64(run.step.TailTargetMs)
-		for _, key := range agent.runKeys() {
-			if other := agent.runs[key]; other.step.Opportunistic {
+		for _, k := range agent.runKeys() {
+			if other := agent.runs[k]; other.step.Opportunistic {
 				tail += 1.7 * float64(other.cpuPercent) / 100
 			}
 		}
--- a/internal/sched/drive/drain_test.go
+++ b/internal/sched/drive/drain_test.go
@@ -15,8 +15,8 @@
 func (s *sim) runsByDomain(job string) map[string]int {
 	domains := map[string]int{}
 	for _, a := range s.agents {
-		for _, run := range a.runs {
-			if run.id.Job == job {
+		for _, r := range a.runs {
+			if r.id.Job == job {
 				domains[a.record.FailureDomain]++
 			}
 		}
@@ -53,8 +53,8 @@
 	original := firstDomain(t, s.runsByDomain(s.jobs[0]))
 	s.drain(original, false)
 	for _, a := range s.agents {
-		for key := range a.runs {
-			a.end(key, wire.RunOutcome_RUN_OUTCOME_FAILED)
+		for k := range a.runs {
+			a.end(k, wire.RunOutcome_RUN_OUTCOME_FAILED)
 		}
 	}
 	s.run(3*time.Second, 0)
@@ -82,8 +82,8 @@
 				s.proposals = nil
 				s.depose()
 			}
-			for _, domain := range []string{"domain-0", "domain-1"} {
-				s.drain(domain, false)
+			for _, d := range []string{"domain-0", "domain-1"} {
+				s.drain(d, false)
 			}
 			s.run(20*time.Second, 0)
 			s.assertCompleted(t)
@@ -96,8 +96,8 @@
 	s := newSim(1, 6, true, faults{})
 	s.run(2*time.Second, 0)
 	domains := []string{"domain-0", "domain-1", "domain-2"}
-	for _, domain := range domains {
-		s.drain(domain, false)
+	for _, d := range domains {
+		s.drain(d, false)
 	}
 	s.submitJob(&wire.Step{Count: 2, CpuMillis: 1000, MemoryMb: 100, EstimateMs: 500})
 	s.run(5*time.Second, 0)
--- a/internal/sched/drive/drive_test.go
+++ b/internal/sched/drive/drive_test.go
@@ -27,12 +27,12 @@
 // seedsWith returns the first seedsPerCase seeds and the later ones of the regression seeds.
 func seedsWith(regressions []uint64) []uint64 {
 	var seeds []uint64
-	for seed := range uint64(seedsPerCase) {
-		seeds = append(seeds, seed)
+	for i := range uint64(seedsPerCase) {
+		seeds = append(seeds, i)
 	}
-	for _, seed := range regressions {
-		if seed >= uint64(seedsPerCase) {
-			seeds = append(seeds, seed)
+	for _, n := range regressions {
+		if n >= uint64(seedsPerCase) {
+			seeds = append(seeds, n)
 		}
 	}
 	return seeds
@@ -71,12 +71,12 @@
 		}
 		standing := j.Spec.Steps[0].Standing
 		assert.Assert(t, standing, "seed %d: job %s is %v after all faults ended", seed, id, j.State)
-		for _, task := range j.Occurrences[0][0].Tasks {
+		for _, tk := range j.Occurrences[0][0].Tasks {
 			running := false
 			for _, a := range s.agents {
-				running = running || a.runs[taskKey(task.ID())] != nil
+				running = running || a.runs[taskKey(tk.ID())] != nil
 			}
-			assert.Assert(t, running, "seed %d: standing task %s runs nowhere", seed, taskKey(task.ID()))
+			assert.Assert(t, running, "seed %d: standing task %s runs nowhere", seed, taskKey(tk.ID()))
 		}
 	}
 	assert.Assert(t, len(s.violations) == 0, "seed %d: %v", seed, s.violations)
@@ -116,10 +116,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			done := 0
-			for _, seed := range seedsWith(c.regressions) {
-				s := newSim(seed, 6, c.guarded, c.faults)
+			for _, n := range seedsWith(c.regressions) {
+				s := newSim(n, 6, c.guarded, c.faults)
 				s.run(30*time.Second, 1)
-				assertJobsEnd(t, seed, s)
+				assertJobsEnd(t, n, s)
 				for _, id := range s.jobs {
 					if s.graph.Job(id).State == wire.WorkState_WORK_STATE_COMPLETED {
 						done++
@@ -139,8 +139,8 @@
 	s.run(2*time.Second, 0)
 	throttled := 0
 	for _, a := range s.agents {
-		for _, run := range a.runs {
-			run.cpuPercent = 0
+		for _, r := range a.runs {
+			r.cpuPercent = 0
 			throttled++
 		}
 	}
@@ -148,9 +148,9 @@
 	s.depose()
 	s.run(6*time.Second, 0)
 	for _, a := range s.agents {
-		for _, run := range a.runs {
-			assert.Equal(t, run.cpuPercent, 100)
-			assert.Equal(t, run.id.Run, uint32(1), "the run was restarted")
+		for _, r := range a.runs {
+			assert.Equal(t, r.cpuPercent, 100)
+			assert.Equal(t, r.id.Run, uint32(1), "the run was restarted")
 		}
 	}
 }
@@ -160,9 +160,9 @@
 // tasks that run then.
 func loseStandingUnderLoad(s *sim, gap time.Duration, spared string) int {
 	var lostAddress string
-	for address, a := range s.agents {
-		if len(a.runs) > 0 && address != spared {
-			lostAddress = address
+	for k, a := range s.agents {
+		if len(a.runs) > 0 && k != spared {
+			lostAddress = k
 		}
 	}
 	submitFor := func(length time.Duration) {
@@ -178,8 +178,8 @@
 	submitFor(3 * time.Second)
 	running := 0
 	for _, a := range s.agents {
-		for _, run := range a.runs {
-			if run.step.Standing {
+		for _, r := range a.runs {
+			if r.step.Standing {
 				running++
 			}
 		}
@@ -217,9 +217,9 @@
 	s.submitJob(&wire.Step{Count: 1, CpuMillis: 1000, EstimateMs: 500, Standing: true})
 	s.run(3*time.Second, 0)
 	lostAt := s.now
-	for _, address := range sortedKeys(s.agents) {
-		if agent := s.agents[address]; len(agent.runs) > 0 {
-			delete(s.agents, address)
+	for _, a := range sortedKeys(s.agents) {
+		if agent := s.agents[a]; len(agent.runs) > 0 {
+			delete(s.agents, a)
 		}
 	}
 	s.run(8*time.Second, 0)
--- a/internal/sched/drive/faults_test.go
+++ b/internal/sched/drive/faults_test.go
@@ -17,8 +17,8 @@
 
 // crash ends an agent and its runs without notice.
 func (s *sim) crash(agent *modelAgent) {
-	for key := range agent.runs {
-		s.crashes[key]++
+	for k := range agent.runs {
+		s.crashes[k]++
 	}
 	delete(s.agents, agent.record.Address)
 }
@@ -47,9 +47,9 @@
 func (s *sim) crashByRun(agent *modelAgent) {
 	s.crash(agent)
 	s.refusingAddresses[agent.record.Address] = !s.undetectedCrashes
-	for _, closed := range agent.onConnectionClose {
+	for _, f := range agent.onConnectionClose {
 		if !agent.isUnreachable() && !s.undetectedCrashes {
-			s.after(time.Millisecond, closed)
+			s.after(time.Millisecond, f)
 		}
 	}
 	s.after(3*time.Second, func() { s.startAgent(agent.record.Address) })
@@ -58,13 +58,13 @@
 // mayFail reports whether a task of a job has failed as often as allowed, or has run on so many
 // crashed agents that its job may fail.
 func (s *sim) mayFail(job string) bool {
-	for key, n := range s.failedRuns {
-		if strings.HasPrefix(key, job+".") && n >= 3 {
+	for k, n := range s.failedRuns {
+		if strings.HasPrefix(k, job+".") && n >= 3 {
 			return true
 		}
 	}
-	for key, n := range s.crashes {
-		if strings.HasPrefix(key, job+".") && n >= 2 {
+	for k, n := range s.crashes {
+		if strings.HasPrefix(k, job+".") && n >= 2 {
 			return true
 		}
 	}
--- a/internal/sched/drive/features.go
+++ b/internal/sched/drive/features.go
@@ -45,10 +45,10 @@
 // ParseFeatures parses the names of features.
 func ParseFeatures(names []string) (map[Feature]bool, error) {
 	named := map[Feature]bool{}
-	for _, name := range names {
-		f := Feature(strings.TrimSpace(name))
+	for _, n := range names {
+		f := Feature(strings.TrimSpace(n))
 		if !slices.Contains(Features, f) {
-			return nil, fmt.Errorf("drive: unknown feature %q, valid features are %v", name, Features)
+			return nil, fmt.Errorf("drive: unknown feature %q, valid features are %v", n, Features)
 		}
 		named[f] = true
 	}
--- a/internal/sched/drive/gang.go
+++ b/internal/sched/drive/gang.go
@@ -21,8 +21,8 @@
 		number = max(number, t.Run)
 	}
 	if s.Step.SameRack {
-		for _, rack := range groupByRack(candidates) {
-			if p.placeMembers(s, rack, number+1) {
+		for _, r := range groupByRack(candidates) {
+			if p.placeMembers(s, r, number+1) {
 				return
 			}
 		}
@@ -42,8 +42,8 @@
 	}
 	sort.Strings(names)
 	list := make([][]*freeResources, 0, len(names))
-	for _, name := range names {
-		list = append(list, byRack[name])
+	for _, n := range names {
+		list = append(list, byRack[n])
 	}
 	return list
 }
@@ -68,10 +68,10 @@
 		trial.assume(t, free, number)
 		sr.updateRating(free)
 	}
-	for _, placement := range trial.placed {
+	for _, pl := range trial.placed {
 		for _, f := range candidates {
-			if f.agent.record.Id == placement.Agent {
-				f.assume(s.Tasks[placement.Id.Index])
+			if f.agent.record.Id == pl.Agent {
+				f.assume(s.Tasks[pl.Id.Index])
 				p.summaries[p.engine.poolOf(s.Job)].assume(s)
 			}
 		}
--- a/internal/sched/drive/invariants_test.go
+++ b/internal/sched/drive/invariants_test.go
@@ -38,8 +38,8 @@
 	}
 	if step.SpreadLimit > 0 {
 		siblings := 0
-		for _, run := range on.runs {
-			if run.id.Job == o.Run.Job && run.id.Step == o.Run.Step {
+		for _, r := range on.runs {
+			if r.id.Job == o.Run.Job && r.id.Step == o.Run.Step {
 				siblings++
 			}
 		}
@@ -76,10 +76,10 @@
 		return
 	}
 	for _, a := range s.agents {
-		for key, run := range a.runs {
-			at, cancelled := s.cancelled[run.id.Job]
-			since := max(at, run.startedAt, a.unreachableUntil, s.leaderSince)
-			s.check(!cancelled || s.now < since+cancelledRunLimit, "%s runs on %s %v after its job was cancelled", key, a.record.Id, s.now-at)
+		for k, r := range a.runs {
+			at, cancelled := s.cancelled[r.id.Job]
+			since := max(at, r.startedAt, a.unreachableUntil, s.leaderSince)
+			s.check(!cancelled || s.now < since+cancelledRunLimit, "%s runs on %s %v after its job was cancelled", k, a.record.Id, s.now-at)
 		}
 	}
 }
--- a/internal/sched/drive/load_test.go
+++ b/internal/sched/drive/load_test.go
@@ -87,9 +87,9 @@
 func (c interferenceScenario) tail(agent *modelAgent, _ *modelRun) int {
 	phase := math.Sin(2 * math.Pi * agent.sim.now.Seconds() / 14)
 	tail := math.Sqrt(c.low*c.high) * math.Pow(c.high/c.low, phase/2)
-	for _, run := range agent.runs {
-		if run.step.Opportunistic {
-			share := float64(run.step.CpuMillis) / float64(agent.record.CpuMillis) * float64(run.cpuPercent) / 100
+	for _, r := range agent.runs {
+		if r.step.Opportunistic {
+			share := float64(r.step.CpuMillis) / float64(agent.record.CpuMillis) * float64(r.cpuPercent) / 100
 			tail *= math.Exp(c.adds * share)
 		}
 	}
@@ -173,9 +173,9 @@
 func TestManySmallInterferersAreThrottled(t *testing.T) {
 	const seeds = 20 // the completed jobs of a single seed vary with the agents' clocks
 	done := 0
-	for seed := range uint64(seeds) {
-		got := interferenceScenario{low: 38, high: 46, adds: 0.7, cpuMillis: 500, submitInterval: 12}.runSeed(seed)
-		assert.Assert(t, got.longestOver < 3500*time.Millisecond, "seed %d: over the target for %v without a break", seed, got.longestOver)
+	for i := range uint64(seeds) {
+		got := interferenceScenario{low: 38, high: 46, adds: 0.7, cpuMillis: 500, submitInterval: 12}.runSeed(i)
+		assert.Assert(t, got.longestOver < 3500*time.Millisecond, "seed %d: over the target for %v without a break", i, got.longestOver)
 		done += got.completed
 	}
 	mean := float64(done) / seeds
@@ -202,8 +202,8 @@
 	s.run(6*time.Second, 0)
 	halted := 0
 	for _, a := range s.agents {
-		for _, run := range a.runs {
-			if run.cpuPercent == 0 {
+		for _, r := range a.runs {
+			if r.cpuPercent == 0 {
 				halted++
 			}
 		}
--- a/internal/sched/drive/metrics.go
+++ b/internal/sched/drive/metrics.go
@@ -36,10 +36,10 @@
 )
 
 func init() {
-	for number, name := range wire.RunOutcome_name {
-		name = strings.ToLower(strings.TrimPrefix(name, "RUN_OUTCOME_"))
-		outcomeNames[wire.RunOutcome(number)] = name
-		outcomeCounters[wire.RunOutcome(number)] = metrics.GetOrCreateCounter(`sycamoredeck_runs_ended_total{outcome="` + name + `"}`)
+	for i, n := range wire.RunOutcome_name {
+		n = strings.ToLower(strings.TrimPrefix(n, "RUN_OUTCOME_"))
+		outcomeNames[wire.RunOutcome(i)] = n
+		outcomeCounters[wire.RunOutcome(i)] = metrics.GetOrCreateCounter(`sycamoredeck_runs_ended_total{outcome="` + n + `"}`)
 	}
 }
 
--- a/internal/sched/drive/model_test.go
+++ b/internal/sched/drive/model_test.go
@@ -127,8 +127,8 @@
 }
 
 func (a *modelAgent) listRuns(answer *drive.Answer) {
-	for _, key := range a.runKeys() {
-		run := a.runs[key]
+	for _, k := range a.runKeys() {
+		run := a.runs[k]
 		percent := min(int(100*run.work/max(run.length, 1)), 100)
 		status := drive.RunStatus{Run: run.id, ProgressPercent: percent, Checkpoint: "saved", Usage: int(run.step.CpuMillis)}
 		switch {
@@ -190,9 +190,9 @@
 
 func (a *modelAgent) requestedCPU() uint64 {
 	var sum uint64
-	for _, run := range a.runs {
-		if !run.step.Opportunistic {
-			sum += run.step.CpuMillis
+	for _, r := range a.runs {
+		if !r.step.Opportunistic {
+			sum += r.step.CpuMillis
 		}
 	}
 	return sum
@@ -209,13 +209,13 @@
 // tick advances the agent's runs and answers the long polls that are due.
 func (a *modelAgent) tick(step time.Duration) {
 	if a.deadline > 0 && a.clock() > a.deadline {
-		for _, key := range a.runKeys() {
-			a.end(key, wire.RunOutcome_RUN_OUTCOME_LAPSED)
+		for _, k := range a.runKeys() {
+			a.end(k, wire.RunOutcome_RUN_OUTCOME_LAPSED)
 		}
 		a.lastExpired = a.number
 	}
-	for _, key := range a.runKeys() {
-		run := a.runs[key]
+	for _, k := range a.runKeys() {
+		run := a.runs[k]
 		run.work += step * time.Duration(run.cpuPercent) / 100
 		if a.sim.runCrashesAgent(run) {
 			a.sim.crashByRun(a)
@@ -223,11 +223,11 @@
 		}
 		switch {
 		case run.stopAt != 0 && a.sim.now >= run.stopAt:
-			a.end(key, wire.RunOutcome_RUN_OUTCOME_STOPPED)
+			a.end(k, wire.RunOutcome_RUN_OUTCOME_STOPPED)
 		case run.fails && run.work > run.length/2:
-			a.end(key, wire.RunOutcome_RUN_OUTCOME_FAILED)
+			a.end(k, wire.RunOutcome_RUN_OUTCOME_FAILED)
 		case run.work >= run.length && !run.step.Standing:
-			a.end(key, wire.RunOutcome_RUN_OUTCOME_DONE)
+			a.end(k, wire.RunOutcome_RUN_OUTCOME_DONE)
 		}
 	}
 	stillWaiting := a.waitingPolls[:0]
@@ -254,8 +254,8 @@
 
 func (a *modelAgent) runKeys() []string {
 	keys := make([]string, 0, len(a.runs))
-	for key := range a.runs {
-		keys = append(keys, key)
+	for k := range a.runs {
+		keys = append(keys, k)
 	}
 	sort.Strings(keys)
 	return keys
--- a/internal/sched/drive/overload_test.go
+++ b/internal/sched/drive/overload_test.go
@@ -40,9 +40,9 @@
 // Guards against ordering work by declared durations alone.
 func TestEstimatedDurationsServeMoreUnderOverload(t *testing.T) {
 	estimated, declared := 0, 0
-	for seed := range uint64(6) {
-		estimated += jobsInTime(seed, nil)
-		declared += jobsInTime(seed, disabled(drive.EstimateDurations))
+	for i := range uint64(6) {
+		estimated += jobsInTime(i, nil)
+		declared += jobsInTime(i, disabled(drive.EstimateDurations))
 	}
 	t.Logf("in time of 1440: %d by estimated durations, %d by declared ones", estimated, declared)
 	assert.Assert(t, estimated > declared, "%d by estimated durations, %d by declared ones", estimated, declared)
--- a/internal/sched/drive/place.go
+++ b/internal/sched/drive/place.go
@@ -82,8 +82,8 @@
 
 func (e *Engine) newPass(wall time.Time) *pass {
 	p := &pass{engine: e, freeByPool: e.freeResourcesByPool(), summaries: map[string]*poolSummary{}, wallTime: wall, unplaceable: make([]taskSize, len(e.queue.classes))}
-	for pool, candidates := range p.freeByPool {
-		p.summaries[pool] = summarize(candidates)
+	for k, fs := range p.freeByPool {
+		p.summaries[k] = summarize(fs)
 	}
 	return p
 }
--- a/internal/sched/drive/queue.go
+++ b/internal/sched/drive/queue.go
@@ -114,9 +114,9 @@
 		return
 	}
 	e.nextCleanup = e.now + cleanupInterval
-	for job := range e.estimates.jobs {
-		if job.Ended() {
-			delete(e.estimates.jobs, job)
+	for j := range e.estimates.jobs {
+		if j.Ended() {
+			delete(e.estimates.jobs, j)
 		}
 	}
 	for s := range e.readySince {
--- a/internal/sched/drive/rank.go
+++ b/internal/sched/drive/rank.go
@@ -30,15 +30,15 @@
 			backlogOf(queues, r.stage.Job.Queue).add(r)
 		}
 	}
-	for key, load := range e.runningCPU {
-		backlogOf(queues, key.queue).running += load
+	for k, l := range e.runningCPU {
+		backlogOf(queues, k.queue).running += l
 	}
 	for _, b := range queues {
 		b.detectOverload()
 	}
 	e.queue.overloaded = map[string]bool{}
-	for queue, b := range queues {
-		e.queue.overloaded[queue] = b.overloaded
+	for q, b := range queues {
+		e.queue.overloaded[q] = b.overloaded
 	}
 	for i := range list {
 		list[i].overloaded = e.queue.overloaded[list[i].stage.Job.Queue]
@@ -199,8 +199,8 @@
 // tasks take longer than declared.
 func (e *Engine) objective(s *graph.Stage, q *wire.Queue, factor float64) time.Duration {
 	var chain time.Duration
-	for _, first := range s.Job.Occurrences[s.Occurrence] {
-		chain = max(chain, first.CriticalPath)
+	for _, st := range s.Job.Occurrences[s.Occurrence] {
+		chain = max(chain, st.CriticalPath)
 	}
 	return time.Duration(float64(chain)*factor*max(q.GetStretch(), 1)) + q.GetTarget().AsDuration()
 }
--- a/internal/sched/drive/registration.go
+++ b/internal/sched/drive/registration.go
@@ -75,8 +75,8 @@
 // process that was dropped while unreachable comes back this way. All leases that were
 // sent to it have expired, so it can't execute an old start any more.
 func (e *Engine) newRegistration(reported *wire.Agent) (*wire.Agent, error) {
-	for _, other := range e.graph.Agents() {
-		switch r := other.Record; {
+	for _, o := range e.graph.Agents() {
+		switch r := o.Record; {
 		case agentName(r) != reported.Id || r.Incarnation < reported.Incarnation:
 		case reported.Incarnation == 0:
 			return nil, errIncarnationMissing
@@ -158,13 +158,13 @@
 // none.
 func (e *Engine) goneProcess(name string) *graph.Agent {
 	var gone *graph.Agent
-	for _, other := range e.graph.Agents() {
-		switch r := other.Record; {
+	for _, o := range e.graph.Agents() {
+		switch r := o.Record; {
 		case agentName(r) != name:
 		case r.Incarnation == 0:
-			return other
+			return o
 		case r.Leaving && (gone == nil || r.Incarnation < gone.Record.Incarnation):
-			gone = other
+			gone = o
 		}
 	}
 	return gone
--- a/internal/sched/drive/reserve.go
+++ b/internal/sched/drive/reserve.go
@@ -65,23 +65,23 @@
 			demand[e.poolOf(s.Job)] += float64(s.Step.CpuMillis) * float64(s.Unplaced)
 		}
 	}
-	for key, load := range e.runningCPU {
-		if key.ordinary {
-			demand[e.currentPool(key.queue, key.pool)] += load
+	for k, l := range e.runningCPU {
+		if k.ordinary {
+			demand[e.currentPool(k.queue, k.pool)] += l
 		}
 	}
-	for pool, n := range demand {
-		if _, seen := e.ordinarySince[pool]; !seen && n > 0 {
-			e.ordinarySince[pool] = e.now
+	for p, n := range demand {
+		if _, seen := e.ordinarySince[p]; !seen && n > 0 {
+			e.ordinarySince[p] = e.now
 		}
-		e.ordinaryDemand[pool] = max(n, e.ordinaryDemand[pool])
+		e.ordinaryDemand[p] = max(n, e.ordinaryDemand[p])
 	}
 	if e.now < e.nextDemandDecay {
 		return
 	}
 	e.nextDemandDecay = e.now + demandDecayInterval
-	for pool := range e.ordinaryDemand {
-		e.ordinaryDemand[pool] = max(demand[pool], e.ordinaryDemand[pool]*demandDecay)
+	for p := range e.ordinaryDemand {
+		e.ordinaryDemand[p] = max(demand[p], e.ordinaryDemand[p]*demandDecay)
 	}
 }
 
--- a/internal/sched/drive/resources.go
+++ b/internal/sched/drive/resources.go
@@ -58,14 +58,14 @@
 	if e.agentsByPool == nil {
 		e.groupAgentsByPool()
 	}
-	for pool, agents := range e.agentsByPool {
-		list := e.freeByPool[pool][:0]
-		for _, a := range agents {
+	for p, as := range e.agentsByPool {
+		list := e.freeByPool[p][:0]
+		for _, a := range as {
 			if e.schedulable(a) {
 				list = append(list, e.freeResourcesOf(a))
 			}
 		}
-		e.freeByPool[pool] = list
+		e.freeByPool[p] = list
 	}
 	return e.freeByPool
 }
@@ -147,10 +147,10 @@
 	p.engine.predictTails(free)
 	share := free.agent.cpuShare(float64(s.Step.CpuMillis) * defaultUseShare)
 	acceptable = true
-	for _, task := range free.latencyTasks {
-		increase := p.engine.tailModel.Weight(task.image, s.Step.Image) * share
+	for _, t := range free.latencyTasks {
+		increase := p.engine.tailModel.Weight(t.image, s.Step.Image) * share
 		added += increase
-		acceptable = acceptable && (task.expectedUtilization+increase <= task.utilizationLimit || increase < minInterference)
+		acceptable = acceptable && (t.expectedUtilization+increase <= t.utilizationLimit || increase < minInterference)
 	}
 	return added, acceptable
 }
--- a/internal/sched/drive/restart_test.go
+++ b/internal/sched/drive/restart_test.go
@@ -49,8 +49,8 @@
 			s := newSim(1, 4, true, faults{incarnations: true})
 			s.run(2*time.Second, 0)
 			s.runShortJobs(t)
-			for _, address := range sortedKeys(s.agents) {
-				s.restart(s.agents[address], c.away)
+			for _, a := range sortedKeys(s.agents) {
+				s.restart(s.agents[a], c.away)
 			}
 			for range 20 {
 				s.submitJob(&wire.Step{Count: 6, CpuMillis: 1000, EstimateMs: 300})
@@ -69,8 +69,8 @@
 	s.run(2*time.Second, 0)
 	s.runShortJobs(t)
 	for range 2 {
-		for _, address := range sortedKeys(s.agents) {
-			s.restart(s.agents[address], 14*time.Second)
+		for _, a := range sortedKeys(s.agents) {
+			s.restart(s.agents[a], 14*time.Second)
 		}
 		s.run(20*time.Second, 0)
 		s.submitJob(&wire.Step{Count: 6, CpuMillis: 1000, EstimateMs: 300})
@@ -109,23 +109,23 @@
 // one afterwards, while replicas of the earlier version still pass reports on without it.
 func TestUpgradeKeepsAgentsWithoutIncarnation(t *testing.T) {
 	s := newSim(1, 3, true, faults{})
-	for i, address := range sortedKeys(s.agents) {
-		s.agents[address].incarnation = uint64(i + 1)
+	for i, a := range sortedKeys(s.agents) {
+		s.agents[a].incarnation = uint64(i + 1)
 	}
 	s.run(2*time.Second, 0)
 	s.submitJob(&wire.Step{Count: 6, CpuMillis: 1000, EstimateMs: 20000})
 	s.run(time.Second, 0)
 	s.depose()
 	s.run(4*time.Second, 0)
-	for i, address := range sortedKeys(s.agents) {
-		s.agents[address].record.Incarnation = uint64(i + 1)
+	for i, a := range sortedKeys(s.agents) {
+		s.agents[a].record.Incarnation = uint64(i + 1)
 	}
 	s.run(3*time.Second, 0)
 	refused := 0
-	for _, address := range sortedKeys(s.agents) {
-		agent := s.agents[address]
+	for _, a := range sortedKeys(s.agents) {
+		agent := s.agents[a]
 		assert.Equal(t, s.graph.Agent(agent.record.Id).Record.Incarnation, agent.incarnation)
-		record := &wire.Agent{Id: agent.record.Id, Address: address, Pool: "p", CpuMillis: 8000, MemoryMb: 8000}
+		record := &wire.Agent{Id: agent.record.Id, Address: a, Pool: "p", CpuMillis: 8000, MemoryMb: 8000}
 		s.engine.HandleReport(s.now, &wire.ReportAgentRequest{Agent: record}, func(err error) {
 			assert.ErrorContains(t, err, "doesn't tell")
 			refused++
@@ -137,8 +137,8 @@
 	assert.Equal(t, runCount(s, 0), uint32(1), "the work was restarted")
 
 	s.reportIncarnations, s.agentsStarted = true, 10
-	for _, address := range sortedKeys(s.agents) {
-		s.restart(s.agents[address], time.Second)
+	for _, a := range sortedKeys(s.agents) {
+		s.restart(s.agents[a], time.Second)
 	}
 	s.run(5*time.Second, 0)
 	s.submitJob(&wire.Step{Count: 3, CpuMillis: 1000, EstimateMs: 300, SpreadLimit: 1})
@@ -154,8 +154,8 @@
 	for range 3 {
 		s.submitJob(&wire.Step{Count: 4, CpuMillis: 1000, EstimateMs: 2000})
 		s.run(500*time.Millisecond, 0)
-		for _, address := range sortedKeys(s.agents) {
-			s.agents[address].unreachableUntil = s.now + 14*time.Second
+		for _, a := range sortedKeys(s.agents) {
+			s.agents[a].unreachableUntil = s.now + 14*time.Second
 		}
 		s.run(18*time.Second, 0)
 		s.submitJob(&wire.Step{Count: 2, CpuMillis: 1000, EstimateMs: 300, SpreadLimit: 1})
--- a/internal/sched/drive/sim_test.go
+++ b/internal/sched/drive/sim_test.go
@@ -317,8 +317,8 @@
 // endFaults ends all faults, also those in effect.
 func (s *sim) endFaults() {
 	s.faultsEnded, s.faultsEndedAt, s.faults = true, s.now, faults{disabled: s.faults.disabled}
-	for _, domain := range sortedKeys(s.drainedAt) {
-		s.drain(domain, true)
+	for _, d := range sortedKeys(s.drainedAt) {
+		s.drain(d, true)
 	}
 	for _, a := range s.agents {
 		a.failing, a.unreachableUntil = false, min(a.unreachableUntil, s.now)
@@ -359,8 +359,8 @@
 
 func (s *sim) submitJob(steps ...*wire.Step) {
 	id := jobID(len(s.jobs) + 1)
-	for i, step := range steps {
-		s.steps[fmt.Sprintf("%s.%d", id, i)] = step
+	for i, st := range steps {
+		s.steps[fmt.Sprintf("%s.%d", id, i)] = st
 	}
 	spec := &wire.WorkSpec{Payload: "p", Steps: steps}
 	s.commit(&wire.WorkCommand{Body: &wire.WorkCommand_Submit{Submit: &wire.SubmitWork{Job: id, Queue: "q", Spec: spec}}})
@@ -388,8 +388,8 @@
 		}
 		s.injectFaults()
 		s.runEvents()
-		for _, address := range sortedKeys(s.agents) {
-			agent := s.agents[address]
+		for _, a := range sortedKeys(s.agents) {
+			agent := s.agents[a]
 			agent.tick(simTick)
 			if s.now >= agent.nextHeartbeat {
 				agent.nextHeartbeat = s.now + heartbeatInterval
--- a/internal/sched/drive/sort.go
+++ b/internal/sched/drive/sort.go
@@ -31,9 +31,9 @@
 func (a *agent) removeRun(r *run) {
 	delete(a.runs, r.task)
 	kept := make([]*run, 0, len(a.sortedRuns))
-	for _, other := range a.sortedRuns {
-		if other != r {
-			kept = append(kept, other)
+	for _, o := range a.sortedRuns {
+		if o != r {
+			kept = append(kept, o)
 		}
 	}
 	a.sortedRuns = kept
--- a/internal/sched/drive/sync.go
+++ b/internal/sched/drive/sync.go
@@ -79,8 +79,8 @@
 // removeEndedRuns removes runs whose ends were committed, which frees their resources at
 // once.
 func (e *Engine) removeEndedRuns(ends []*wire.RunEnd) {
-	for _, end := range ends {
-		t := e.graph.FindTask(end.Id)
+	for _, re := range ends {
+		t := e.graph.FindTask(re.Id)
 		if r := e.runs[t]; r != nil && (t.Agent != r.agent.record.Id || t.Run != r.number) {
 			e.removeRun(r)
 		}
