--- a/internal/front/admit/queue.go
+++ b/internal/front/admit/queue.go
@@ -128,8 +128,8 @@
 // given the other accounts with waiting calls.
 func (q *Queue[T]) Share(account string, weight float64) float64 {
 	total := weight
-	for name, a := range q.accounts {
-		if name != account && len(a.waiters) > 0 {
+	for n, a := range q.accounts {
+		if n != account && len(a.waiters) > 0 {
 			total += a.waiters[0].Weight
 		}
 	}
@@ -140,9 +140,9 @@
 // has been served beyond its share and is kept: its next call must not start without that
 // debt.
 func (q *Queue[T]) pruneIdle() {
-	for name, a := range q.accounts {
+	for n, a := range q.accounts {
 		if len(a.waiters) == 0 && a.virtualStart <= q.virtualTime {
-			delete(q.accounts, name)
+			delete(q.accounts, n)
 		}
 	}
 }
