--- a/internal/base/setup/file.go
+++ b/internal/base/setup/file.go
@@ -28,10 +28,10 @@
 		return nil, &Error{Setting: "settings", Value: path, Allowed: fmt.Sprintf("a JSON object of strings (%v)", err)}
 	}
 	values := map[string]string{}
-	for name, o := range b.options {
+	for n, o := range b.options {
 		field := o.path[len(o.path)-1].JSONName()
 		if value, ok := named[field]; ok {
-			values[name] = value
+			values[n] = value
 			delete(named, field)
 		}
 	}
