--- a/internal/itest/cluster_test.go
+++ b/internal/itest/cluster_test.go
@@ -93,11 +93,11 @@
 	for i := range entries {
 		c.entries = append(c.entries, c.reserve(fmt.Sprintf("entry-%d", i)))
 	}
-	for _, name := range c.controls {
-		c.start(name, append(c.controlCommand(name), flags...))
+	for _, n := range c.controls {
+		c.start(n, append(c.controlCommand(n), flags...))
 	}
-	for _, name := range c.entries {
-		c.start(name, append(c.entryCommand(name), flags...))
+	for _, n := range c.entries {
+		c.start(n, append(c.entryCommand(n), flags...))
 	}
 	for _, e := range c.entries {
 		c.waitFor(e+" serves", func() bool { return len(c.statusAt(e).GetEntries()) == entries })
@@ -248,8 +248,8 @@
 }
 
 func (c *cluster) stop() {
-	for _, conn := range c.conns {
-		conn.Close()
+	for _, cc := range c.conns {
+		cc.Close()
 	}
 	for _, p := range c.processes {
 		_ = p.cmd.Process.Signal(syscall.SIGCONT)
@@ -259,10 +259,10 @@
 		<-p.exited
 	}
 	if c.t.Failed() {
-		for name := range c.processes {
-			for _, kind := range []string{".log", ".out"} {
-				log, _ := os.ReadFile(filepath.Join(c.folder, name+kind))
-				c.t.Logf("%s%s:\n%s", name, kind, log[max(0, len(log)-3000):])
+		for n := range c.processes {
+			for _, k := range []string{".log", ".out"} {
+				log, _ := os.ReadFile(filepath.Join(c.folder, n+k))
+				c.t.Logf("%s%s:\n%s", n, k, log[max(0, len(log)-3000):])
 			}
 		}
 	}
--- a/internal/itest/config_test.go
+++ b/internal/itest/config_test.go
@@ -156,15 +156,15 @@
 	c := newCluster(t, 3, 1)
 	c.configure()
 	const last = 450
-	for version := uint64(2); version <= last; version++ {
-		c.applyNext("entry-0", version)
+	for v := uint64(2); v <= last; v++ {
+		c.applyNext("entry-0", v)
 	}
-	for _, name := range c.controls {
-		c.signal(name, syscall.SIGKILL)
+	for _, n := range c.controls {
+		c.signal(n, syscall.SIGKILL)
 	}
-	for _, name := range c.controls {
-		c.wait(name)
-		c.restart(name)
+	for _, n := range c.controls {
+		c.wait(n)
+		c.restart(n)
 	}
 	c.leader()
 	assert.Equal(t, c.status().ConfigurationVersion, uint64(last))
@@ -184,8 +184,8 @@
 func TestReplicaLossAfterDiskReplacement(t *testing.T) {
 	c := newCluster(t, 3, 1)
 	c.configure()
-	for version := uint64(2); version <= 250; version++ {
-		c.applyNext("entry-0", version)
+	for v := uint64(2); v <= 250; v++ {
+		c.applyNext("entry-0", v)
 	}
 	before, err := c.members()
 	assert.NilError(t, err)
--- a/internal/itest/drain_test.go
+++ b/internal/itest/drain_test.go
@@ -25,9 +25,9 @@
 func TestDrainedDomainGetsNoNewWork(t *testing.T) {
 	c := newCluster(t, 3, 2)
 	c.configure()
-	for _, domain := range []string{"east", "west"} {
-		c.server("server-"+domain, "--failure-domain", domain, "--slots", "32")
-		c.worker("worker-"+domain, "--failure-domain", domain)
+	for _, d := range []string{"east", "west"} {
+		c.server("server-"+d, "--failure-domain", d, "--slots", "32")
+		c.worker("worker-"+d, "--failure-domain", d)
 	}
 	c.waitUsable(2)
 	c.waitWorkers(2)
@@ -47,12 +47,12 @@
 	assertOnlyWest("drained")
 	c.kill(c.leader())
 	assertOnlyWest("next-leader")
-	for _, name := range c.controls {
-		_ = c.process(name).cmd.Process.Kill() // the former leader has already exited
-		c.wait(name)
+	for _, n := range c.controls {
+		_ = c.process(n).cmd.Process.Kill() // the former leader has already exited
+		c.wait(n)
 	}
-	for _, name := range c.controls {
-		c.restart(name)
+	for _, n := range c.controls {
+		c.restart(n)
 	}
 	c.leader()
 	assertOnlyWest("all-restarted")
--- a/internal/itest/input_test.go
+++ b/internal/itest/input_test.go
@@ -150,14 +150,14 @@
 func (c *traceCollector) Export(_ context.Context, r *collector.ExportTraceServiceRequest) (*collector.ExportTraceServiceResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, resource := range r.ResourceSpans {
-		for _, scope := range resource.ScopeSpans {
-			for _, span := range scope.Spans {
-				id := string(span.TraceId)
+	for _, rs := range r.ResourceSpans {
+		for _, ss := range rs.ScopeSpans {
+			for _, s := range ss.Spans {
+				id := string(s.TraceId)
 				if c.traces[id] == nil {
 					c.traces[id] = map[string]bool{}
 				}
-				c.traces[id][span.Name] = true
+				c.traces[id][s.Name] = true
 			}
 		}
 	}
@@ -168,10 +168,10 @@
 func (c *traceCollector) hasTrace(names ...string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, spans := range c.traces {
+	for _, s := range c.traces {
 		all := true
 		for _, n := range names {
-			all = all && spans[n]
+			all = all && s[n]
 		}
 		if all {
 			return true
--- a/internal/itest/proxy_test.go
+++ b/internal/itest/proxy_test.go
@@ -119,9 +119,9 @@
 func (m *proxyMesh) isolate(name string, others ...string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, other := range others {
-		if other != name {
-			m.blocked[[2]string{name, other}], m.blocked[[2]string{other, name}] = true, true
+	for _, o := range others {
+		if o != name {
+			m.blocked[[2]string{name, o}], m.blocked[[2]string{o, name}] = true, true
 		}
 	}
 }
@@ -147,8 +147,8 @@
 func (m *proxyMesh) sourceIP(name string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for ip, known := range m.names {
-		if known == name {
+	for ip, n := range m.names {
+		if n == name {
 			return ip
 		}
 	}
--- a/internal/itest/request_test.go
+++ b/internal/itest/request_test.go
@@ -209,11 +209,11 @@
 	leader := c.leader()
 	c.signal(leader, syscall.SIGTERM)
 	c.wait(leader)
-	for name, report := range map[string]func() *caller.Report{"many": many, "once": once} {
-		r := report()
-		assert.Equal(t, r.Failed, int64(0), "%s: %v", name, r.Errors)
-		assert.Equal(t, r.Unknown, int64(0), "%s: %v", name, r.Reasons)
-		assert.Assert(t, r.Completed > r.Sent*9/10, "%s: %d of %d: %v", name, r.Completed, r.Sent, r.Reasons)
+	for n, f := range map[string]func() *caller.Report{"many": many, "once": once} {
+		r := f()
+		assert.Equal(t, r.Failed, int64(0), "%s: %v", n, r.Errors)
+		assert.Equal(t, r.Unknown, int64(0), "%s: %v", n, r.Reasons)
+		assert.Assert(t, r.Completed > r.Sent*9/10, "%s: %d of %d: %v", n, r.Completed, r.Sent, r.Reasons)
 	}
 	c.assertNoViolations()
 }
--- a/internal/itest/task_test.go
+++ b/internal/itest/task_test.go
@@ -171,9 +171,9 @@
 		ids = append(ids, c.submit("entry-0", fmt.Sprint("j", i), "batch", "units=10000", false))
 	}
 	c.waitJobState(ids[0], wire.JobState_JOB_STATE_RUNNING)
-	for _, wave := range [][]string{ids[:40], ids[20:]} {
+	for _, w := range [][]string{ids[:40], ids[20:]} {
 		ctx, cancel := c.context()
-		_, err := wire.NewJobServiceClient(c.connTo("entry-1")).Cancel(ctx, &wire.CancelRequest{JobIds: wave})
+		_, err := wire.NewJobServiceClient(c.connTo("entry-1")).Cancel(ctx, &wire.CancelRequest{JobIds: w})
 		cancel()
 		assert.NilError(t, err)
 	}
