--- a/internal/model/caller/caller.go
+++ b/internal/model/caller/caller.go
@@ -165,13 +165,13 @@
 // sendWithRetries sends a request, and retries it after "not run" if configured.
 func (r *run) sendWithRetries(ctx context.Context, id string, idempotent bool, due time.Time) {
 	r.update(func(s *Report) { s.Sent++ })
-	for retries := 0; ; retries++ {
+	for n := 0; ; n++ {
 		response, err := r.send(ctx, id, idempotent)
 		if err != nil {
 			r.recordError(err, idempotent)
 			return
 		}
-		if response.Outcome == wire.Outcome_OUTCOME_NOT_RUN && r.options.FollowRetryAfter && retries < r.options.MaxRetries {
+		if response.Outcome == wire.Outcome_OUTCOME_NOT_RUN && r.options.FollowRetryAfter && n < r.options.MaxRetries {
 			r.update(func(s *Report) { s.Returns++ })
 			time.Sleep(response.RetryAfter.AsDuration())
 			continue
